--- a/features/checked_group.py
+++ b/features/checked_group.py
@@ -56,11 +56,11 @@
                 )
             self._lease = (identity, end)
 
-    def hand_over(self, name: str) -> bool:
+    def transfer_leadership(self, name: str) -> bool:
         """Lets a leader hand over, which ends its lease at once."""
         node = self.nodes[name]
         led = node.replica.leader_since is not None
-        gave_up = node.replica.hand_over(node.clock(self.now))
+        gave_up = node.replica.transfer_leadership(node.clock(self.now))
         if led and gave_up:
             if node.lease_end(self.now) > self.now:
                 raise BrokenInvariantError("a lease outlasts a hand-over")
--- a/features/replication_faults.py
+++ b/features/replication_faults.py
@@ -6,14 +6,14 @@
 from knapweedarch.exceptions import ReplicaError
 from knapweedarch.replica import Entry, EntryKind, HardState, Output, Replica
 
-BIG = b"x" * 1_100_000  # Larger than one batch, so it is sent alone.
+LARGE_DATA = b"x" * 1_100_000  # Larger than one batch, so it is sent alone.
 
 
 class WithoutPreVote(Replica):
     """Enters a new term whenever it misses the leader."""
 
-    def _campaign(self, now):
-        self._stand(now)
+    def _start_pre_vote(self, now):
+        self._start_election(now)
 
 
 class WithoutLeaseWait(Replica):
@@ -41,10 +41,10 @@
     """Commits entries of earlier terms by counting."""
 
     def _commit(self):
-        office = self._leadership
-        if office is not None:
-            matched = office._majority(
-                self.last_index, lambda i: office.peer(i).match_index
+        leadership = self._leadership
+        if leadership is not None:
+            matched = leadership._quorum_value(
+                self.last_index, lambda i: leadership.peer(i).match_index
             )
             self._log.commit(matched)
 
@@ -54,14 +54,14 @@
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        real = self._election.all_restarted
+        original = self._election.all_restarted
 
-        def counting(identity, voters):
-            real(identity, voters)
-            known = self._election._restarted | {self.identity}
+        def majority_restarted(identity, voters):
+            original(identity, voters)
+            known = self._election._restarted_voters | {self.identity}
             return len(known & voters) > len(voters) // 2
 
-        self._election.all_restarted = counting
+        self._election.all_restarted = majority_restarted
 
 
 VARIANTS = {
@@ -77,7 +77,7 @@
 }
 
 
-def flapping(group: CheckedGroup) -> None:
+def isolate_follower_repeatedly(group: CheckedGroup) -> None:
     """Cuts a follower off and lets it back five times."""
     _, follower, _ = group.elected()
     for _ in range(5):
@@ -87,14 +87,14 @@
         group.run(1.0)
 
 
-def unreachable(group: CheckedGroup) -> None:
+def cut_leader_follower_link(group: CheckedGroup) -> None:
     """Cuts only the link between the leader and one follower."""
     leader, follower, _ = group.elected()
     group.sever(leader, follower)
     group.run(4.0)
 
 
-def restarted_voter(group: CheckedGroup) -> None:
+def restart_voter_during_lease(group: CheckedGroup) -> None:
     """Restarts the voter that a leader's lease relies on."""
     leader, follower, voter = group.elected()
     group.sever(leader, follower)
@@ -105,7 +105,7 @@
     group.run(1.0)
 
 
-def all_but_one_restart(group: CheckedGroup) -> None:
+def restart_all_but_lease_holder(group: CheckedGroup) -> None:
     """Restarts all voters but the one that holds the lease."""
     leader, *others = group.elected()
     group.isolate(leader)
@@ -116,38 +116,38 @@
     group.run(1.5)
 
 
-def returning(group: CheckedGroup) -> None:
+def rejoin_with_partial_log(group: CheckedGroup) -> None:
     """Lets a member without its disk catch up with a part of the log."""
-    leader, returns, lags = group.elected()
-    group.isolate(lags)
+    leader, replaced, lagging = group.elected()
+    group.isolate(lagging)
     group.propose(b"first")
-    group.propose(BIG)
+    group.propose(LARGE_DATA)
     group.run(0.5)
-    group.lose_disk(returns)
+    group.lose_disk(replaced)
     group.crash(leader)
     group.heal()
-    group.start(returns)
+    group.start(replaced)
     group.start(leader)
     # The lagging member's vote elects the old leader, but then it hears
     # neither of the last entries.
     group.run_until(lambda: group.nodes[leader].replica.leader_since, 10.0)
-    group.sever(leader, lags)
+    group.sever(leader, lagging)
     for _ in range(40):
-        if not group.nodes[returns].replica.blank:
+        if not group.nodes[replaced].replica.blank:
             break
         group.step()
     group.isolate(leader)
     group.run(4.0)
 
 
-def second_loss(group: CheckedGroup) -> None:
+def lose_second_disk(group: CheckedGroup) -> None:
     """Loses a second member as soon as the first one counts again."""
-    leader, returns, _ = group.elected()
+    leader, replaced, _ = group.elected()
     group.propose(b"kept")
     group.run(0.3)
-    group.lose_disk(returns)
-    group.start(returns)
-    group.isolate(returns)
+    group.lose_disk(replaced)
+    group.start(replaced)
+    group.isolate(replaced)
     for step in range(400):
         if step == 160:
             group.heal()
@@ -159,21 +159,21 @@
     group.run(6.0)
 
 
-def answered_too_early(group: CheckedGroup) -> None:
+def crash_between_reply_and_sync(group: CheckedGroup) -> None:
     """Crashes a follower after it answered and before it synced."""
-    leader, answers, lags = group.elected()
-    group.isolate(lags)
+    leader, acknowledging, lagging = group.elected()
+    group.isolate(lagging)
     group.propose(b"kept")
     group.step()
-    group.nodes[answers].crash_before_save = True
+    group.nodes[acknowledging].crash_before_save = True
     group.run(0.2)
     group.crash(leader)
     group.heal()
-    group.start(answers)
+    group.start(acknowledging)
     group.run(5.0)
 
 
-def old_term(group: CheckedGroup) -> None:
+def replicate_old_term_entry(group: CheckedGroup) -> None:
     """Lets an entry of term 2 reach a majority in term 4.
 
     A member holds another entry of term 3 in the same place; it may still be
@@ -182,7 +182,7 @@
     for name in group.nodes:
         group.crash(name)
     first, second, third, fourth, fifth = group.nodes
-    old = Entry(2, 2, EntryKind.DATA, BIG)
+    old = Entry(2, 2, EntryKind.DATA, LARGE_DATA)
     for name in (first, second):
         group.nodes[name].disk.save(Output(HardState(3), entries=(old,)))
     newer = Entry(2, 3, EntryKind.DATA, b"newer")
@@ -207,14 +207,14 @@
 
 
 SCHEDULES = {
-    "a follower is cut off and back five times": flapping,
-    "a follower cannot reach the leader only": unreachable,
-    "a voter restarts while the lease runs": restarted_voter,
-    "all but the lease holder restart": all_but_one_restart,
-    "a member returns with part of the log": returning,
-    "a second member is lost after a repair": second_loss,
-    "a member crashes between answer and sync": answered_too_early,
-    "an entry of an old term reaches a majority": old_term,
+    "a follower is cut off and back five times": isolate_follower_repeatedly,
+    "a follower cannot reach the leader only": cut_leader_follower_link,
+    "a voter restarts while the lease runs": restart_voter_during_lease,
+    "all but the lease holder restart": restart_all_but_lease_holder,
+    "a member returns with part of the log": rejoin_with_partial_log,
+    "a second member is lost after a repair": lose_second_disk,
+    "a member crashes between answer and sync": crash_between_reply_and_sync,
+    "an entry of an old term reaches a majority": replicate_old_term_entry,
 }
 
 
@@ -233,7 +233,7 @@
     """Runs a schedule with some seeds; returns how each run ended."""
     schedule, outcomes = SCHEDULES[name], []
     for seed in range(runs):
-        members = "abcde" if schedule is old_term else "abc"
+        members = "abcde" if schedule is replicate_old_term_entry else "abc"
         group = CheckedGroup(members, seed, **variant)
         try:
             schedule(group)
@@ -263,7 +263,7 @@
             group.heal()
         case 12:
             for running in group.running():
-                group.hand_over(running.name)
+                group.transfer_leadership(running.name)
         case 7:
             group.freeze(name, rng.uniform(0.1, 2.0))
         case 8:
@@ -293,7 +293,7 @@
             _random_fault(group, rng)
             end = group.now + rng.uniform(0.05, pause_s)
             while group.now < end:
-                propose_some(group, rng, rate)
+                propose_randomly(group, rng, rate)
                 group.step()
         recover(group)
     except (BrokenInvariantError, ReplicaError, AssertionError) as exc:
@@ -301,7 +301,9 @@
     return group
 
 
-def propose_some(group: CheckedGroup, rng: random.Random, rate: float) -> None:
+def propose_randomly(
+    group: CheckedGroup, rng: random.Random, rate: float
+) -> None:
     """Proposes at any member that says it leads, current or not."""
     for node in group.running():
         if node.replica.leader_since is not None and rng.random() < rate:
--- a/features/steps/replication_steps.py
+++ b/features/steps/replication_steps.py
@@ -33,14 +33,14 @@
 
 
 @when("all replicas crash and start again within {spread:f} s")
-def all_restart(context, spread):
+def restart_all(context, spread):
     restart(context, list(context.group.nodes), spread)
 
 
 @when(
     "all replicas but the leading one crash and start again within {spread:f} s"
 )
-def others_restart(context, spread):
+def restart_all_but_leader(context, spread):
     context.leader, *others = context.group.elected()
     # It goes on by its lease, and nobody hears it any more.
     context.group.isolate(context.leader)
@@ -56,7 +56,7 @@
 
 
 @then("a replica holds the leader lease within {limit:f} s of the last start")
-def holds_soon(context, limit):
+def lease_is_held(context, limit):
     context.group.run_until(context.group.lease_holder, limit)
 
 
@@ -64,7 +64,7 @@
     "no other replica holds the leader lease within {limit:f} s of the last"
     " start"
 )
-def no_other_holds(context, limit):
+def no_other_lease_holder(context, limit):
     end = context.group.now + limit
     while context.group.now < end:
         context.group.step()
@@ -79,19 +79,22 @@
     context.group.elected()
 
 
-@given("{loss:d}% of the replicas' messages are lost and {twice:d}% come twice")
-def bad_network(context, loss, twice):
+@given(
+    "{loss:d}% of the replicas' messages are lost and {duplicated:d}% come"
+    " twice"
+)
+def set_message_loss(context, loss, duplicated):
     context.group.measures = True
-    context.group.loss, context.group.duplication = loss / 100, twice / 100
+    context.group.loss, context.group.duplication = loss / 100, duplicated / 100
 
 
 @when("{count:d} log entries are proposed over {seconds:f} s")
 def propose(context, count, seconds):
-    propose_sized(context, count, 8, seconds)
+    propose_entries_of_size(context, count, 8, seconds)
 
 
 @when("{count:d} log entries of {size:d} bytes are proposed over {seconds:f} s")
-def propose_sized(context, count, size, seconds):
+def propose_entries_of_size(context, count, size, seconds):
     for number in range(count):
         context.group.propose(f"{number:08}".encode() * (size // 8))
         context.group.run(seconds / count)
@@ -107,12 +110,12 @@
 
 
 @then("no replica's message was larger than {size:d} bytes")
-def largest(context, size):
+def check_largest_message(context, size):
     assert 0 < context.group.largest_message <= size
 
 
 @when("the {role} replica {fault}")
-def one_fault(context, role, fault):
+def inject_fault(context, role, fault):
     group = context.group
     leader, follower, _ = group.elected()
     name = leader if role == "leading" else follower
@@ -141,7 +144,7 @@
             node.disk = disk
             group.start(name)
         case "hands over":
-            assert group.hand_over(name)
+            assert group.transfer_leadership(name)
         case "removes itself from the list":
             members = node.replica.members
             others = tuple(m for m in members if m.name != name)
@@ -151,7 +154,7 @@
 
 
 @when("the replicas' network heals")
-def heals(context):
+def heal_network(context):
     context.group.heal()
     context.group.compact_each = 0
 
@@ -165,7 +168,7 @@
 
 
 @then("another replica holds the leader lease within {limit:f} s")
-def other_holds(context, limit):
+def other_takes_lease(context, limit):
     wait_for_other(context.group, context.leader, limit)
 
 
@@ -173,7 +176,7 @@
     "after a crash another replica leads within {limit:f} s"
     " in {wanted:d} of {runs:d} runs"
 )
-def other_holds_often(context, limit, wanted, runs):
+def other_usually_takes_lease(context, limit, wanted, runs):
     times = []
     for seed in range(runs):
         group = CheckedGroup(seed=seed)
@@ -184,14 +187,14 @@
 
 
 @then("after {seconds:f} s only one replica says that it leads")
-def one_leads(context, seconds):
+def only_one_leads(context, seconds):
     context.group.run(seconds)
     leading = [n for n in context.group.running() if n.replica.leader_since]
     assert len(leading) == 1
 
 
 @then("it says that it does not lead the log within {limit:f} s")
-def gives_up(context, limit):
+def leader_steps_down(context, limit):
     replica = context.group.nodes[context.leader].replica
     context.group.run_until(lambda: replica.leader_since is None, limit)
 
@@ -206,7 +209,7 @@
 
 
 @when("a process with another identity uses the name of a live follower")
-def name_taken(context):
+def impersonate_follower(context):
     leader, follower, _ = context.group.elected()
     context.replica = context.group.nodes[leader].replica
     context.members = context.replica.members
@@ -214,13 +217,13 @@
 
 
 @then("after {seconds:f} s the member list is unchanged")
-def list_unchanged(context, seconds):
+def members_unchanged(context, seconds):
     context.group.run(seconds)
     assert context.replica.members == context.members
 
 
 @when("a fourth replica is proposed")
-def fourth_replica(context):
+def propose_fourth_replica(context):
     learner = context.group.add("d")
     leader = context.group.lease_holder()
     members = (*leader.replica.members, learner)
@@ -282,17 +285,17 @@
 
 
 @given("the replicas are built {variant}")
-def build(context, variant):
+def choose_variant(context, variant):
     context.variant = VARIANTS[variant]
 
 
 @when("the replicas meet this: {schedule}")
-def meet(context, schedule):
+def run_faults(context, schedule):
     context.outcomes = run_schedule(schedule, context.variant)
 
 
 @then("the replicas end with this: {result}")
-def ended(context, result):
+def check_outcomes(context, result):
     assert OUTCOMES[result](context.outcomes), context.outcomes
 
 
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -16,7 +16,7 @@
 from knapweedarch.heartbeats import HeartbeatTable
 from knapweedarch.models import Endpoint, EndpointKind, EndpointStatus
 from knapweedarch.replica import Member
-from knapweedarch.replica_membership import PeerNote, next_change
+from knapweedarch.replica_membership import PeerIdentity, next_change
 from knapweedarch.state import (
     COMMANDS,
     RESULTS,
@@ -226,7 +226,9 @@
 def ask_to_join(context, count):
     for i in range(count):
         name = f"j{i}"
-        context.notes[name] = PeerNote(name, f"identity-{name}", "127.0.0.1", 1)
+        context.notes[name] = PeerIdentity(
+            name, f"identity-{name}", "127.0.0.1", 1
+        )
     settle(context)
 
 
--- a/knapweedarch/member.py
+++ b/knapweedarch/member.py
@@ -219,7 +219,9 @@
         """Hands the office to another member before a planned stop."""
         until = self._clock.now() + HAND_OVER_S
         while self._leader.in_office and self._clock.now() < until:
-            if self._leader.idle and self._replica.hand_over(self._clock.now()):
+            if self._leader.idle and self._replica.transfer_leadership(
+                self._clock.now()
+            ):
                 self._work.set()
                 # The driver saves and sends before the process ends.
                 await anyio.sleep(TICK_S)
--- a/knapweedarch/replica.py
+++ b/knapweedarch/replica.py
@@ -13,7 +13,7 @@
 )
 from knapweedarch.replica_leadership import Leadership
 from knapweedarch.replica_membership import (
-    PeerNote,
+    PeerIdentity,
     check_change,
     next_change,
 )
@@ -66,7 +66,7 @@
 MAX_ENTRY_BYTES = 4 * 1024 * 1024
 MAX_UNCOMMITTED_ENTRIES = 20_000
 MAX_UNCOMMITTED_BYTES = 64 * 1024 * 1024
-KEPT_BYTES = 8 * 1024 * 1024
+MAX_KEPT_ENTRY_BYTES = 8 * 1024 * 1024
 
 
 class Replica(ReplicaStatus):
@@ -78,9 +78,9 @@
         """Lets time pass; called at least each 50 ms."""
         self._advance(now)
         if self._leadership is not None:
-            self._lead(now)
-        elif self._election.due(now) and self._may_campaign():
-            self._campaign(now)
+            self._tick_leader(now)
+        elif self._election.timer_expired(now) and self._is_voter():
+            self._start_pre_vote(now)
 
     def receive(self, sender: str, message: Message, now: float) -> None:
         """Takes a message of the member named `sender`."""
@@ -136,17 +136,20 @@
                 learner that caught up, or another change is under way.
         """
         self._advance(now)
-        office = self._leadership
-        if office is None:
+        leadership = self._leadership
+        if leadership is None:
             raise NotLeaderError(self.leader)
-        if self._log.commit_index < office.first_index or self.members_pending:
+        if (
+            self._log.commit_index < leadership.first_index
+            or self.members_pending
+        ):
             raise MembershipError("another change is not committed yet")
         check_change(self.members, members, self._caught_up)
         index = self._append_own(EntryKind.MEMBERS, encode_members(members))
-        office.update_members()
+        leadership.update_members()
         return index
 
-    def hand_over(self, now: float) -> bool:
+    def transfer_leadership(self, now: float) -> bool:
         """Gives up the office to a voter that holds the whole log.
 
         Before a planned stop this spares the others the election timeout.
@@ -157,11 +160,11 @@
         self._advance(now)
         if self._leadership is None:
             return True
-        successor = self._leadership.successor()
-        if successor is None:
+        transfer_target = self._leadership.transfer_target()
+        if transfer_target is None:
             return False
-        self._follow(self.term, None, now)
-        self._send(successor, HandOver(self.identity, self.term))
+        self._become_follower(self.term, None, now)
+        self._send(transfer_target, HandOver(self.identity, self.term))
         return True
 
     def note_peer(self, name: str, identity: str, host: str, port: int) -> None:
@@ -170,7 +173,7 @@
         If a member has come back with another identity, it lost its disk: the
         leader then adds it as a learner and replaces the old identity.
         """
-        self._notes[name] = PeerNote(name, identity, host, port)
+        self._peer_identities[name] = PeerIdentity(name, identity, host, port)
 
     def compact(self, index: int, snapshot_data: bytes, now: float) -> None:
         """Replaces the entries up to `index` by the application's state.
@@ -181,10 +184,10 @@
         """
         self._advance(now)
         old = self._log.snapshot
-        if index > self._applied or (old and index <= old.index):
+        if index > self._applied_index or (old and index <= old.index):
             raise ReplicaError(f"entry {index} cannot be compacted")
         self._compacted = self._log.compact(
-            index, snapshot_data, self._cfg.kept_entries, KEPT_BYTES
+            index, snapshot_data, self._cfg.kept_entries, MAX_KEPT_ENTRY_BYTES
         )
 
     def take_output(self) -> Output:
@@ -194,7 +197,7 @@
             self._messages += self._leadership.requests(self._now)
         snapshot, compacted = self._follower.take_installed(), self._compacted
         if snapshot is not None:
-            self._applied = max(self._applied, snapshot.index)
+            self._applied_index = max(self._applied_index, snapshot.index)
             if compacted is not None and compacted.index <= snapshot.index:
                 compacted = None
         newest = compacted or snapshot
@@ -207,9 +210,9 @@
             truncate_from,
             entries,
             tuple(self._messages),
-            self._log.between(self._applied + 1, self._log.commit_index),
+            self._log.between(self._applied_index + 1, self._log.commit_index),
         )
-        self._applied = self._log.commit_index
+        self._applied_index = self._log.commit_index
         self._compacted = None
         self._messages = []
         return output
@@ -220,20 +223,22 @@
         if self._now is None:
             # Before a restart this member may have told a leader that it
             # hears it, so it waits as long as that promise lasts.
-            self._election.started(now)
+            self._election.start_restart_wait(now)
         self._now = now
 
     def _refuses_votes(self, now: float) -> bool:
         leads = self._leadership is not None
-        return leads or self._election.hears_leader(now)
+        return leads or self._election.has_recent_leader(now)
 
-    def _follow(self, term: int, leader: str | None, now: float) -> None:
+    def _become_follower(
+        self, term: int, leader: str | None, now: float
+    ) -> None:
         if self._leadership is not None:
             # The own lease may still run.
-            self._election.heard_leader(now)
+            self._election.record_leader_contact(now)
             self._leadership = self.leader_since = self.leader = None
         if term > self.term:
-            self._election.adopt(term)
+            self._election.enter_term(term)
             self.leader = None
         self.role = Role.FOLLOWER
         self.leader = leader or self.leader
@@ -246,29 +251,29 @@
     def _voters(self) -> set[str]:
         return {m.identity for m in self.members if m.voter}
 
-    def _may_campaign(self) -> bool:
+    def _is_voter(self) -> bool:
         return self.identity in self._voters()
 
-    def _campaign(self, now: float) -> None:
+    def _start_pre_vote(self, now: float) -> None:
         """Asks whether an election could be won, without changing a term."""
         self.role = Role.PRE_CANDIDATE
-        self._ask_for_votes(now)
+        self._request_votes(now)
 
-    def _stand(self, now: float, all_restarted: bool = False) -> None:
+    def _start_election(self, now: float, all_restarted: bool = False) -> None:
         self.role = Role.CANDIDATE
-        self._ask_for_votes(now, all_restarted=all_restarted)
+        self._request_votes(now, all_restarted=all_restarted)
 
     def _on_hand_over(self, message: HandOver, now: float) -> None:
         if (
             message.term == self.term
             and message.identity in self._voters()
-            and self._may_campaign()
+            and self._is_voter()
             and self._leadership is None
         ):
             self.role = Role.CANDIDATE
-            self._ask_for_votes(now, handed_over=True)
+            self._request_votes(now, handed_over=True)
 
-    def _ask_for_votes(
+    def _request_votes(
         self,
         now: float,
         handed_over: bool = False,
@@ -276,7 +281,7 @@
     ) -> None:
         self.leader = None
         pre = self.role is Role.PRE_CANDIDATE
-        request = self._election.ask(
+        request = self._election.start_round(
             self._log, pre, now, handed_over, all_restarted
         )
         for member in self.members:
@@ -286,15 +291,15 @@
         self._count_vote(own, now)
 
     def _count_vote(self, vote: VoteReply, now: float) -> None:
-        if not self._election.count(vote, self._voters()):
+        if not self._election.count_vote(vote, self._voters()):
             return
         if not vote.pre:
-            self._take_office(now)
+            self._become_leader(now)
         elif self.role is Role.PRE_CANDIDATE and not (
             # Its own silence may still be promised to a leader.
-            self._election.hears_leader(now)
+            self._election.has_recent_leader(now)
         ):
-            self._stand(now)
+            self._start_election(now)
 
     def _on_vote_request(
         self, sender: str, request: VoteRequest, now: float
@@ -303,29 +308,33 @@
             return
         # The leader that this voter heard claims no lease any more, or this
         # voter has promised nothing since all of them restarted.
-        released = self._leadership is None and (
+        lease_waived = self._leadership is None and (
             request.handed_over
-            or (request.all_restarted and self._election.is_fresh)
+            or (request.all_restarted and self._election.just_restarted)
         )
-        yields = self._election.yields_to(request, self._log)
-        refused = self._refuses_votes(now) and not released
+        defers = self._election.defers_to(request, self._log)
+        refused = self._refuses_votes(now) and not lease_waived
         if not refused and not request.pre and request.term > self.term:
-            self._follow(request.term, None, now)
+            self._become_follower(request.term, None, now)
         granted = not refused and self._election.grant(request, self._log, now)
         if granted and self.role is Role.PRE_CANDIDATE:
-            self._yield_to(request.identity, now)
+            self._defer_to(request.identity, now)
         term = request.term if granted else self.term
-        reply = VoteReply(self.identity, term, granted, request.pre, yields)
+        reply = VoteReply(self.identity, term, granted, request.pre, defers)
         self._send(sender, reply)
-        self._ask_back(sender, request, now)
+        self._send_counter_request(sender, request, now)
 
-    def _ask_back(self, sender: str, request: VoteRequest, now: float) -> None:
+    def _send_counter_request(
+        self, sender: str, request: VoteRequest, now: float
+    ) -> None:
         if self.role is Role.PRE_CANDIDATE:
-            question = self._election.ask_back(request, self._log, now)
-            if question is not None:
-                self._send(sender, question)
+            counter_request = self._election.counter_request(
+                request, self._log, now
+            )
+            if counter_request is not None:
+                self._send(sender, counter_request)
 
-    def _yield_to(self, identity: str, now: float) -> None:
+    def _defer_to(self, identity: str, now: float) -> None:
         """Leaves the election to one of two that ask at the same time.
 
         Both could win a pre-vote, and then the votes would be split.
@@ -342,21 +351,21 @@
             and self.role is Role.PRE_CANDIDATE
             and self._election.all_restarted(reply.identity, self._voters())
         ):
-            self._stand(now, all_restarted=True)
+            self._start_election(now, all_restarted=True)
             return
         if not reply.granted:
             if reply.term > self.term and reply.identity in self._voters():
-                self._follow(reply.term, None, now)
+                self._become_follower(reply.term, None, now)
             return
         self._count_vote(reply, now)
 
     # Leading.
 
-    def _take_office(self, now: float) -> None:
+    def _become_leader(self, now: float) -> None:
         self.role = Role.LEADER
         self.leader = self.name
         self.leader_since = now
-        self._election.is_fresh = False
+        self._election.just_restarted = False
         self._leadership = Leadership(self.identity, self.term, self._log, now)
         self._append_own(EntryKind.NOOP, b"")
 
@@ -365,32 +374,35 @@
         self._log.append([Entry(index, self.term, kind, data)])
         return index
 
-    def _lead(self, now: float) -> None:
-        office = self._leadership
-        if office.quorum_lost(now):
-            self._follow(self.term, None, now)
+    def _tick_leader(self, now: float) -> None:
+        leadership = self._leadership
+        if leadership.quorum_lost(now):
+            self._become_follower(self.term, None, now)
             return
-        office.tick(now)
+        leadership.tick(now)
         self._change_members(now)
 
     def _commit(self) -> None:
-        office = self._leadership
-        if office is None:
+        leadership = self._leadership
+        if leadership is None:
             return
-        self._log.commit(office.committable())
+        self._log.commit(leadership.committable_index())
 
-    def _resign_if_removed(self, now: float) -> None:
-        if not self.members_pending and not self._may_campaign():
-            self._follow(self.term, None, now)
+    def _step_down_if_removed(self, now: float) -> None:
+        if not self.members_pending and not self._is_voter():
+            self._become_follower(self.term, None, now)
 
     def _change_members(self, now: float) -> None:
         """Proposes the next step that replaces a lost identity, if any."""
-        office = self._leadership
-        if self._log.commit_index < office.first_index or self.members_pending:
+        leadership = self._leadership
+        if (
+            self._log.commit_index < leadership.first_index
+            or self.members_pending
+        ):
             return
         members = next_change(
             self.members,
-            self._notes,
+            self._peer_identities,
             self.identity,
             self._caught_up,
             lambda i: self._silence(i, now),
@@ -401,28 +413,32 @@
 
     def _silence(self, identity: str, now: float) -> float:
         """Returns for how many seconds a member has not answered."""
-        office = self._leadership
-        peer = office.peer(identity)
+        leadership = self._leadership
+        peer = leadership.peer(identity)
         # The leader itself is no peer, and never silent to itself.
-        return now - max(peer.answered, office.since) if peer else 0.0
+        return (
+            now - max(peer.last_contact, leadership.started_at) if peer else 0.0
+        )
 
     def _on_append_reply(self, reply: AppendReply, now: float) -> None:
-        if self._stale_or_newer(reply.identity, reply.term, now):
+        if self._should_ignore_reply(reply.identity, reply.term, now):
             return
-        self._leadership.append_answered(reply, now)
+        self._leadership.handle_append_reply(reply, now)
         self._commit()
-        self._resign_if_removed(now)
+        self._step_down_if_removed(now)
 
     def _on_snapshot_reply(self, reply: SnapshotReply, now: float) -> None:
-        if self._stale_or_newer(reply.identity, reply.term, now):
+        if self._should_ignore_reply(reply.identity, reply.term, now):
             return
-        self._leadership.part_answered(reply, now)
+        self._leadership.handle_snapshot_reply(reply, now)
         self._commit()
 
-    def _stale_or_newer(self, identity: str, term: int, now: float) -> bool:
+    def _should_ignore_reply(
+        self, identity: str, term: int, now: float
+    ) -> bool:
         known = any(m.identity == identity for m in self.members)
         if known and term > self.term:
-            self._follow(term, None, now)
+            self._become_follower(term, None, now)
         return self._leadership is None or term != self.term
 
     # Following.
@@ -432,8 +448,8 @@
     ) -> bool:
         if request.term < self.term:
             return False
-        self._follow(request.term, sender, now)
-        self._election.heard_leader(now)
+        self._become_follower(request.term, sender, now)
+        self._election.record_leader_contact(now)
         return True
 
     def _on_append_request(
@@ -444,7 +460,7 @@
             return
         accepted, index = False, 0
         if self._accept_leader(sender, request, now):
-            accepted, index = self._follower.take_entries(request)
+            accepted, index = self._follower.append_entries(request)
         self._send(
             sender,
             AppendReply(
@@ -459,7 +475,7 @@
             return
         installed, offset = False, 0
         if self._accept_leader(sender, part, now):
-            installed, offset = self._follower.take_part(part)
+            installed, offset = self._follower.receive_part(part)
         self._send(
             sender,
             SnapshotReply(
--- a/knapweedarch/replica_election.py
+++ b/knapweedarch/replica_election.py
@@ -17,7 +17,7 @@
 
     Attributes:
         hard_state: Term and vote.
-        is_fresh: Whether no leader was heard since the process started.
+        just_restarted: Whether no leader was heard since the process started.
     """
 
     def __init__(self, identity: str, hard_state: HardState, seed: int):
@@ -26,9 +26,9 @@
         self._identity = identity
         self._random = random.Random(seed)
         self._votes: dict[bool, set[str]] = {True: set(), False: set()}
-        self.is_fresh = False
-        self._restarted: set[str] = set()
-        self._no_vote_until = 0.0
+        self.just_restarted = False
+        self._restarted_voters: set[str] = set()
+        self._refuse_votes_until = 0.0
         self._due_at = 0.0
 
     @property
@@ -36,26 +36,26 @@
         """Newest term seen."""
         return self.hard_state.term
 
-    def started(self, now: float) -> None:
+    def start_restart_wait(self, now: float) -> None:
         """Waits as long as a promise of the process before may last.
 
         It asks the others at once all the same: when every voter has
         restarted, there is no promise to wait for.
         """
-        self.heard_leader(now)
-        self.is_fresh = True
+        self.record_leader_contact(now)
+        self.just_restarted = True
         self._due_at = now
 
-    def heard_leader(self, now: float) -> None:
+    def record_leader_contact(self, now: float) -> None:
         """Starts the time in which this replica votes for nobody."""
-        self.is_fresh = False
+        self.just_restarted = False
         self._votes = {True: set(), False: set()}
-        self._no_vote_until = now + MIN_ELECTION_S
+        self._refuse_votes_until = now + MIN_ELECTION_S
         self._restart_timer(now, MIN_ELECTION_S, MAX_ELECTION_S)
 
-    def hears_leader(self, now: float) -> bool:
+    def has_recent_leader(self, now: float) -> bool:
         """Tells whether a leader may count on this replica's silence."""
-        return now < self._no_vote_until
+        return now < self._refuse_votes_until
 
     def _restart_timer(self, now: float, low_s: float, high_s: float) -> None:
         self._due_at = now + self._random.uniform(low_s, high_s)
@@ -64,16 +64,16 @@
         """Gives another candidate the time to be elected."""
         self._restart_timer(now, *VOTE_RETRY_S)
 
-    def due(self, now: float) -> bool:
+    def timer_expired(self, now: float) -> bool:
         """Tells whether it is time to seek office."""
         return now >= self._due_at
 
-    def adopt(self, term: int) -> None:
+    def enter_term(self, term: int) -> None:
         """Enters a newer term without a vote."""
         self.hard_state = HardState(term)
         self._votes = {True: set(), False: set()}
 
-    def ask(
+    def start_round(
         self,
         log: ReplicaLog,
         pre: bool,
@@ -88,7 +88,7 @@
         """
         self._restart_timer(now, *(PRE_VOTE_RETRY_S if pre else VOTE_RETRY_S))
         if not pre:
-            self.adopt(self.term + 1)
+            self.enter_term(self.term + 1)
             self.hard_state = HardState(self.term, self._identity)
         return self._request(log, pre, handed_over, all_restarted)
 
@@ -109,7 +109,7 @@
             all_restarted,
         )
 
-    def ask_back(
+    def counter_request(
         self, request: VoteRequest, log: ReplicaLog, now: float
     ) -> VoteRequest | None:
         """Returns what to ask a voter that has just asked, if anything.
@@ -118,24 +118,28 @@
         once. The better of two asks, so they do not ask each other for ever.
         After the wait nobody needs to know who has restarted.
         """
-        if not (self.is_fresh and request.pre and self.hears_leader(now)):
+        if not (
+            self.just_restarted and request.pre and self.has_recent_leader(now)
+        ):
             return None
-        if request.identity in self._restarted:
+        if request.identity in self._restarted_voters:
             return None
         own = self._request(log, pre=True)
         return own if own.rank > request.rank else None
 
-    def yields_to(self, request: VoteRequest, log: ReplicaLog) -> bool:
+    def defers_to(self, request: VoteRequest, log: ReplicaLog) -> bool:
         """Tells whether a restarted voter leaves the office to a candidate."""
-        if not (self.is_fresh and request.pre and request.term > self.term):
+        if not (
+            self.just_restarted and request.pre and request.term > self.term
+        ):
             return False
         return request.rank > self._request(log, pre=True).rank
 
     def all_restarted(self, identity: str, voters: set[str]) -> bool:
         """Notes a restarted voter; tells whether all others are."""
-        self._restarted.add(identity)
+        self._restarted_voters.add(identity)
         others = voters - {self._identity}
-        return self.is_fresh and others <= self._restarted
+        return self.just_restarted and others <= self._restarted_voters
 
     def grant(self, request: VoteRequest, log: ReplicaLog, now: float) -> bool:
         """Decides on a request of the current term or on a pre-vote.
@@ -155,7 +159,7 @@
         self._restart_timer(now, MIN_ELECTION_S, MAX_ELECTION_S)
         return True
 
-    def count(self, reply: VoteReply, voters: set[str]) -> bool:
+    def count_vote(self, reply: VoteReply, voters: set[str]) -> bool:
         """Counts a granted vote; tells whether a majority is reached."""
         if reply.term != self.term + reply.pre:
             return False
--- a/knapweedarch/replica_follower.py
+++ b/knapweedarch/replica_follower.py
@@ -18,10 +18,10 @@
     def __init__(self, log: ReplicaLog):
         self.installed: Snapshot | None = None
         self._log = log
-        self._parts_of: tuple[str, int, int] | None = None
-        self._parts = bytearray()
+        self._buffered_snapshot: tuple[str, int, int] | None = None
+        self._buffer = bytearray()
 
-    def take_entries(self, request: AppendRequest) -> tuple[bool, int]:
+    def append_entries(self, request: AppendRequest) -> tuple[bool, int]:
         """Takes entries.
 
         Returns:
@@ -41,40 +41,40 @@
         self._log.commit(min(request.commit_index, last))
         return True, last
 
-    def take_part(self, part: SnapshotPart) -> tuple[bool, int]:
+    def receive_part(self, part: SnapshotPart) -> tuple[bool, int]:
         """Takes a part of a snapshot.
 
         Returns:
             Whether the log now covers the snapshot, and the next byte needed.
         """
-        if self._covers(part):
+        if self._is_covered(part):
             self._log.commit(part.index)
             return True, part.total
-        self._collect(part)
-        if len(self._parts) < part.total:
-            return False, len(self._parts)
+        self._buffer_part(part)
+        if len(self._buffer) < part.total:
+            return False, len(self._buffer)
         self.installed = Snapshot(
-            part.index, part.index_term, part.members, bytes(self._parts)
+            part.index, part.index_term, part.members, bytes(self._buffer)
         )
         self._log.install(self.installed)
-        self._parts_of, self._parts = None, bytearray()
+        self._buffered_snapshot, self._buffer = None, bytearray()
         return True, part.total
 
-    def _covers(self, part: SnapshotPart) -> bool:
+    def _is_covered(self, part: SnapshotPart) -> bool:
         return (
             part.index <= self._log.commit_index
             or self._log.term_at(part.index) == part.index_term
         )
 
-    def _collect(self, part: SnapshotPart) -> None:
+    def _buffer_part(self, part: SnapshotPart) -> None:
         # Two leaders may encode the same state differently, so parts of two
         # terms are never joined.
         snapshot = (part.identity, part.term, part.index)
-        if self._parts_of != snapshot:
-            self._parts_of, self._parts = snapshot, bytearray()
+        if self._buffered_snapshot != snapshot:
+            self._buffered_snapshot, self._buffer = snapshot, bytearray()
         end = part.offset + len(part.data)
-        if part.offset == len(self._parts) and end <= part.total:
-            self._parts += part.data
+        if part.offset == len(self._buffer) and end <= part.total:
+            self._buffer += part.data
 
     def take_installed(self) -> Snapshot | None:
         """Returns the snapshot that replaced the log, once."""
--- a/knapweedarch/replica_leadership.py
+++ b/knapweedarch/replica_leadership.py
@@ -40,10 +40,10 @@
         next_index: First entry to send.
         match_index: Last entry known to be in its synced log.
         probing: Whether the place where the logs agree is still searched.
-        asked: Whether a probe is under way since the last heartbeat.
+        probe_sent: Whether a probe is under way since the last heartbeat.
         in_flight: Batches sent and not answered.
         matched_at: When `match_index` last grew.
-        answered: Send time of the newest request that it answered.
+        last_contact: Send time of the newest request that it answered.
         heartbeat_due: Whether a heartbeat must be sent.
         snapshot: Snapshot that is being sent; it stays the same until it is
             installed, else frequent compaction would restart it for ever.
@@ -56,9 +56,9 @@
     match_index: int = 0
     matched_at: float = -math.inf
     probing: bool = True
-    asked: bool = False
+    probe_sent: bool = False
     in_flight: int = 0
-    answered: float = -math.inf
+    last_contact: float = -math.inf
     heartbeat_due: bool = True
     snapshot: Snapshot | None = None
     offset: int = 0
@@ -70,13 +70,13 @@
 
     Attributes:
         term: Term of the leader.
-        since: When the replica took office.
+        started_at: When the replica took office.
         first_index: Index of the first entry of the term.
     """
 
     def __init__(self, identity: str, term: int, log: ReplicaLog, now: float):
         self.term = term
-        self.since = now
+        self.started_at = now
         self.first_index = log.last_index + 1
         self._identity = identity
         self._log = log
@@ -100,7 +100,7 @@
         """Returns what is known of a member."""
         return self._peers.get(identity)
 
-    def _majority(self, own: float, value: Callable[[str], float]) -> float:
+    def _quorum_value(self, own: float, value: Callable[[str], float]) -> float:
         """Returns the highest value that a majority of voters has reached."""
         values = sorted(
             (
@@ -112,37 +112,37 @@
         )
         return values[len(values) // 2] if values else -math.inf
 
-    def answered_at(self, now: float) -> float:
+    def quorum_last_contact(self, now: float) -> float:
         """Returns the send time of the newest round a majority answered."""
-        return self._majority(now, lambda i: self._peers[i].answered)
+        return self._quorum_value(now, lambda i: self._peers[i].last_contact)
 
     def lease_end(self, now: float) -> float:
         """Returns until when no other replica can be elected."""
-        return self.answered_at(now) + LEADER_LEASE_S
+        return self.quorum_last_contact(now) + LEADER_LEASE_S
 
-    def successor(self) -> str | None:
+    def transfer_target(self) -> str | None:
         """Returns the voter that holds the whole log and answered last."""
-        able = [
+        eligible = [
             peer
             for peer in self._peers.values()
             if peer.member.voter and peer.match_index == self._log.last_index
         ]
-        if not able:
+        if not eligible:
             return None
-        return max(able, key=lambda peer: peer.answered).member.name
+        return max(eligible, key=lambda peer: peer.last_contact).member.name
 
     def quorum_lost(self, now: float) -> bool:
         """Tells whether no majority answered for too long."""
-        answered = max(self.answered_at(now), self.since)
-        return now - answered >= MAX_ELECTION_S
+        last_contact = max(self.quorum_last_contact(now), self.started_at)
+        return now - last_contact >= MAX_ELECTION_S
 
-    def committable(self) -> int:
+    def committable_index(self) -> int:
         """Returns the last index that a majority of voters has synced.
 
         Entries of an earlier term are never committed by counting: a majority
         may hold one and a later leader may still replace it.
         """
-        index = self._majority(
+        index = self._quorum_value(
             self._log.last_index, lambda i: self._peers[i].match_index
         )
         if index == -math.inf or self._log.term_at(index) != self.term:
@@ -156,7 +156,7 @@
         self._heartbeat_at = now + HEARTBEAT_S
         for peer in self._peers.values():
             peer.heartbeat_due = True
-            peer.asked = False
+            peer.probe_sent = False
 
     def requests(self, now: float) -> Requests:
         """Yields what must be sent to the other members."""
@@ -170,8 +170,8 @@
             peer.heartbeat_due = False
 
     def _probe(self, peer: Peer, now: float) -> Requests:
-        if not peer.asked or peer.heartbeat_due:
-            peer.asked = True
+        if not peer.probe_sent or peer.heartbeat_due:
+            peer.probe_sent = True
             yield self._append_request(peer, now, peer.next_index)
 
     def _batches(self, peer: Peer, now: float) -> Requests:
@@ -236,14 +236,14 @@
             ),
         )
 
-    def append_answered(self, reply: AppendReply, now: float) -> None:
+    def handle_append_reply(self, reply: AppendReply, now: float) -> None:
         """Notes the answer to an append request."""
         peer = self._peers.get(reply.identity)
         if peer is None:
             return
-        peer.answered = max(peer.answered, reply.sent_at)
+        peer.last_contact = max(peer.last_contact, reply.sent_at)
         if reply.accepted:
-            self._matched(peer, reply.index, now)
+            self._record_match(peer, reply.index, now)
             peer.probing = False
             caught_up = peer.match_index + 1 >= peer.next_index
             peer.in_flight = 0 if caught_up else max(peer.in_flight - 1, 0)
@@ -254,22 +254,22 @@
             # Its disk lost entries that it had acknowledged.
             peer.match_index = reply.index - 1
         peer.next_index = min(reply.index, self._log.last_index + 1)
-        peer.probing, peer.asked, peer.in_flight = True, False, 0
+        peer.probing, peer.probe_sent, peer.in_flight = True, False, 0
 
     @staticmethod
-    def _matched(peer: Peer, index: int, now: float) -> None:
+    def _record_match(peer: Peer, index: int, now: float) -> None:
         if index > peer.match_index:
             peer.match_index, peer.matched_at = index, now
         peer.next_index = max(peer.next_index, peer.match_index + 1)
 
-    def part_answered(self, reply: SnapshotReply, now: float) -> None:
+    def handle_snapshot_reply(self, reply: SnapshotReply, now: float) -> None:
         """Notes the answer to a part of a snapshot."""
         peer = self._peers.get(reply.identity)
         if peer is None:
             return
-        peer.answered = max(peer.answered, reply.sent_at)
+        peer.last_contact = max(peer.last_contact, reply.sent_at)
         if reply.installed:
-            self._matched(peer, reply.index, now)
+            self._record_match(peer, reply.index, now)
             peer.snapshot = None
         elif peer.snapshot and reply.index == peer.snapshot.index:
             peer.offset = reply.offset
--- a/knapweedarch/replica_log.py
+++ b/knapweedarch/replica_log.py
@@ -30,14 +30,14 @@
         self._entries: list[Entry] = []
         self._member_lists: list[tuple[int, tuple[Member, ...]]] = [(0, ())]
         if self.snapshot:
-            self._rebase(self.snapshot)
+            self._reset_to_snapshot(self.snapshot)
         self.commit_index = self._base_index
         self.uncommitted_bytes = 0
         self._add(restored.entries)
         self._saved_index = self.last_index
         self._truncate_from: int | None = None
 
-    def _rebase(self, snapshot: Snapshot) -> None:
+    def _reset_to_snapshot(self, snapshot: Snapshot) -> None:
         self._base_index, self._base_term = snapshot.index, snapshot.term
         self._entries = []
         self._member_lists = [(snapshot.index, snapshot.members)]
@@ -120,21 +120,21 @@
             ReplicaError: The entries contradict a committed one, which means
                 that the journals do not belong to the same group.
         """
-        for place, entry in enumerate(entries):
-            held = self.term_at(entry.index)
-            if held == entry.term or (
-                held is None and entry.index <= self._base_index
+        for position, entry in enumerate(entries):
+            held_term = self.term_at(entry.index)
+            if held_term == entry.term or (
+                held_term is None and entry.index <= self._base_index
             ):
                 continue
-            if held is not None:
+            if held_term is not None:
                 self.truncate(entry.index)
-            self._add(entries[place:])
+            self._add(entries[position:])
             return
 
     def commit(self, index: int) -> None:
         """Notes that the entries up to `index` are committed."""
-        newly = self.between(self.commit_index + 1, index)
-        self.uncommitted_bytes -= sum(len(e.data) for e in newly)
+        newly_committed = self.between(self.commit_index + 1, index)
+        self.uncommitted_bytes -= sum(len(e.data) for e in newly_committed)
         self.commit_index = max(self.commit_index, index)
 
     def truncate(self, index: int) -> None:
@@ -162,13 +162,13 @@
     def install(self, snapshot: Snapshot) -> None:
         """Replaces the whole log by a snapshot."""
         self.snapshot = snapshot
-        self._rebase(snapshot)
+        self._reset_to_snapshot(snapshot)
         self.commit_index = self._saved_index = snapshot.index
         self.uncommitted_bytes = 0
         self._truncate_from = None
 
     def compact(
-        self, index: int, data: bytes, keep: int, keep_bytes: int
+        self, index: int, data: bytes, keep_entries: int, keep_bytes: int
     ) -> Snapshot:
         """Makes a snapshot and drops all but the last entries before it.
 
@@ -182,7 +182,7 @@
         self.snapshot = Snapshot(index, term, lists[-1][1], data)
         self._member_lists = self._member_lists[len(lists) - 1 :]
         base = index
-        while base > max(index - keep, self._base_index):
+        while base > max(index - keep_entries, self._base_index):
             keep_bytes -= len(self._entries[base - self._base_index - 1].data)
             if keep_bytes < 0:
                 break
--- a/knapweedarch/replica_membership.py
+++ b/knapweedarch/replica_membership.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class PeerNote:
+class PeerIdentity:
     """Identity and address that a member told when its link opened."""
 
     name: str
@@ -58,7 +58,7 @@
 
 def next_change(
     members: Members,
-    notes: Mapping[str, PeerNote],
+    announced: Mapping[str, PeerIdentity],
     own_identity: str,
     caught_up: Callable[[str], bool],
     silence: Callable[[str], float],
@@ -68,7 +68,7 @@
 
     Args:
         members: Current list.
-        notes: Newest identity told under each name.
+        announced: Newest identity told under each name.
         own_identity: Identity of the leader.
         caught_up: Whether an identity holds every committed entry.
         silence: Seconds since an identity answered the leader.
@@ -78,19 +78,21 @@
     for member in members:
         if member.identity == own_identity:
             continue
-        note = notes.get(member.name)
+        peer = announced.get(member.name)
         if member.voter:
-            change = _missing_learner(members, member, note, silence)
+            change = _add_replacement_learner(members, member, peer, silence)
         elif _is_joining(members, member) and voters:
-            change = _joining_step(
-                *(members, member, note, caught_up, silence, voters),
+            change = _advance_joining_learner(
+                *(members, member, peer, caught_up, silence, voters),
                 own_identity,
             )
         else:
-            change = _learner_step(members, member, note, caught_up)
+            change = _advance_replacement_learner(
+                members, member, peer, caught_up
+            )
         if change is not None:
             return change
-    return _new_learner(members, notes) if voters else None
+    return _add_joining_learner(members, announced) if voters else None
 
 
 def _is_joining(members: Members, learner: Member) -> bool:
@@ -98,22 +100,22 @@
     return not any(m.name == learner.name and m.voter for m in members)
 
 
-def _new_learner(
-    members: Members, notes: Mapping[str, PeerNote]
+def _add_joining_learner(
+    members: Members, announced: Mapping[str, PeerIdentity]
 ) -> Members | None:
     """Adds a member that asked to join under a name that is not listed."""
     if len(members) >= MAX_MEMBERS:
         return None
     names = {m.name for m in members}
-    for name in sorted(notes.keys() - names):
-        return (*members, Member(*attrs.astuple(notes[name]), voter=False))
+    for name in sorted(announced.keys() - names):
+        return (*members, Member(*attrs.astuple(announced[name]), voter=False))
     return None
 
 
-def _joining_step(
+def _advance_joining_learner(
     members: Members,
     learner: Member,
-    note: PeerNote | None,
+    peer: PeerIdentity | None,
     caught_up: Callable[[str], bool],
     silence: Callable[[str], float],
     voters: int,
@@ -124,42 +126,42 @@
     A voter that is only slow to come back joins again as a learner.
     """
     others = tuple(m for m in members if m is not learner)
-    if note is not None and note.identity != learner.identity:
-        return (*others, Member(*attrs.astuple(note), voter=False))
+    if peer is not None and peer.identity != learner.identity:
+        return (*others, Member(*attrs.astuple(peer), voter=False))
     if not caught_up(learner.identity):
-        gone = silence(learner.identity) > LEARNER_SILENCE_S
-        return others if gone else None
+        timed_out = silence(learner.identity) > LEARNER_SILENCE_S
+        return others if timed_out else None
     if sum(m.voter for m in members) < voters:
         return (*others, attrs.evolve(learner, voter=True))
     for member in members:
-        others_vote = member.voter and member.identity != own_identity
-        if others_vote and silence(member.identity) >= REPLACE_SILENCE_S:
+        is_other_voter = member.voter and member.identity != own_identity
+        if is_other_voter and silence(member.identity) >= REPLACE_SILENCE_S:
             return tuple(m for m in members if m is not member)
     return None
 
 
-def _missing_learner(
+def _add_replacement_learner(
     members: Members,
     voter: Member,
-    note: PeerNote | None,
+    peer: PeerIdentity | None,
     silence: Callable[[str], float],
 ) -> Members | None:
     """Adds a learner for a voter that came back with another identity."""
     if (
-        note is None
-        or any(m.identity == note.identity for m in members)
+        peer is None
+        or any(m.identity == peer.identity for m in members)
         or any(m.name == voter.name and not m.voter for m in members)
         or silence(voter.identity) < REPLACE_SILENCE_S
     ):
         return None
-    learner = Member(*attrs.astuple(note), voter=False)
+    learner = Member(*attrs.astuple(peer), voter=False)
     return (*members, learner)
 
 
-def _learner_step(
+def _advance_replacement_learner(
     members: Members,
     learner: Member,
-    note: PeerNote | None,
+    peer: PeerIdentity | None,
     caught_up: Callable[[str], bool],
 ) -> Members | None:
     """Replaces a learner that was lost too, or brings one closer to voting.
@@ -167,12 +169,12 @@
     The lost learner may be the only one left under its name, so its successor
     takes its place in the same change; learners count in no majority.
     """
-    if note is not None and note.identity != learner.identity:
+    if peer is not None and peer.identity != learner.identity:
         others = tuple(m for m in members if m is not learner)
-        if any(m.identity == note.identity for m in others):
+        if any(m.identity == peer.identity for m in others):
             # The first disk came back while its voter was still listed.
             return others
-        return (*others, Member(*attrs.astuple(note), voter=False))
+        return (*others, Member(*attrs.astuple(peer), voter=False))
     if not caught_up(learner.identity):
         return None
     others = tuple(m for m in members if m.name != learner.name)
--- a/knapweedarch/replica_messages.py
+++ b/knapweedarch/replica_messages.py
@@ -279,17 +279,17 @@
     members: tuple[Member, ...]
 
 
-_MEMBER_LISTS = create_codec(MemberList)
+_MEMBER_LIST_CODEC = create_codec(MemberList)
 
 
 def encode_members(members: tuple[Member, ...]) -> bytes:
     """Encodes the data of an entry of kind `MEMBERS`."""
-    return _MEMBER_LISTS.encode(MemberList(tuple(members)))
+    return _MEMBER_LIST_CODEC.encode(MemberList(tuple(members)))
 
 
 def decode_members(data: bytes) -> tuple[Member, ...]:
     """Decodes the data of an entry of kind `MEMBERS`."""
-    return _MEMBER_LISTS.decode(data).members
+    return _MEMBER_LIST_CODEC.decode(data).members
 
 
 def initial_members_entry(members: tuple[Member, ...]) -> Entry:
--- a/knapweedarch/replica_status.py
+++ b/knapweedarch/replica_status.py
@@ -6,7 +6,7 @@
 from knapweedarch.replica_follower import Follower
 from knapweedarch.replica_leadership import MAX_ELECTION_S, Leadership
 from knapweedarch.replica_log import ReplicaLog
-from knapweedarch.replica_membership import PeerNote
+from knapweedarch.replica_membership import PeerIdentity
 from knapweedarch.replica_messages import (
     Member,
     Message,
@@ -57,8 +57,8 @@
         self._election = Election(self.identity, restored.hard_state, seed)
         self._follower = Follower(self._log)
         self._leadership: Leadership | None = None
-        self._applied = self._log.commit_index
-        self._notes: dict[str, PeerNote] = {}
+        self._applied_index = self._log.commit_index
+        self._peer_identities: dict[str, PeerIdentity] = {}
         self._messages: list[tuple[str, Message]] = []
         self._compacted: Snapshot | None = None
         self._now: float | None = None
@@ -111,10 +111,10 @@
         committed; before that the application may lack changes of earlier
         terms.
         """
-        office = self._leadership
-        if office is None or self._applied < office.first_index:
+        leadership = self._leadership
+        if leadership is None or self._applied_index < leadership.first_index:
             return 0.0
-        end = office.lease_end(now)
+        end = leadership.lease_end(now)
         return end if end > now else 0.0
 
     def _caught_up(self, identity: str) -> bool:
@@ -122,5 +122,5 @@
         return bool(
             peer
             and peer.match_index >= self._log.commit_index
-            and self._now - peer.answered < MAX_ELECTION_S
+            and self._now - peer.last_contact < MAX_ELECTION_S
         )
