--- a/bench/control_slopes.py
+++ b/bench/control_slopes.py
@@ -218,7 +218,7 @@
     grant = control.Grant(2.0, 10**6, 320, None, 9000, (), 350)
     sizes = [len(CONTROL.encode(m)) + 20 for m in (renew, grant)]
     row("renewal", "grant", "bytes/s at 2 renewals/s and keep-alives")
-    keep_alive = 2 * 13 / links.KEEP_ALIVE_S
+    keep_alive = 2 * 13 / links.KEEP_ALIVE_INTERVAL_S
     row(*sizes, f"{sum(sizes) * RENEWALS_PER_S + keep_alive:.0f}")
     entries = tuple(EndpointEntry(_endpoint(n), n) for n in range(600))
     full = control.Grant(2.0, 10**6, 320, None, 9000, entries, 350)
--- a/bench/log_bench.py
+++ b/bench/log_bench.py
@@ -21,7 +21,7 @@
 from bench.virtual_group import VirtualGroup
 from features.replication_faults import WithoutPreVote
 from knapweedarch.journal import open_journal
-from knapweedarch.journal_files import Files
+from knapweedarch.journal_files import JournalFiles
 from knapweedarch.replica import (
     MESSAGES,
     Entry,
@@ -40,7 +40,7 @@
 RULE_FILE_BYTES = 2048
 
 
-class UnsyncedFiles(Files):
+class UnsyncedFiles(JournalFiles):
     """Files without syncs, to measure the processor time alone."""
 
     def sync(self, descriptor: int) -> None:
@@ -50,7 +50,9 @@
 class Group:
     """Three members with their journals in one process."""
 
-    def __init__(self, folder: str, files_class: type[Files] = Files):
+    def __init__(
+        self, folder: str, files_class: type[JournalFiles] = JournalFiles
+    ):
         self.journals = {
             name: open_journal(
                 f"{folder}/{name}", files_class(f"{folder}/{name}")
@@ -338,8 +340,8 @@
                 with tempfile.TemporaryDirectory(dir=folder) as place:
                     fill_journal(place, changes, snapshots, build)
                     size = sum(
-                        (Files(place).folder / n).stat().st_size
-                        for n in Files(place).names()
+                        (JournalFiles(place).folder / n).stat().st_size
+                        for n in JournalFiles(place).names()
                     )
                     spent = statistics.median(
                         start_member(place) for _ in range(5)
--- a/features/steps/journal_steps.py
+++ b/features/steps/journal_steps.py
@@ -14,7 +14,7 @@
 from bench.virtual_group import Disk
 from knapweedarch.exceptions import JournalError
 from knapweedarch.journal import HEADER, open_journal
-from knapweedarch.journal_files import Files
+from knapweedarch.journal_files import JournalFiles
 from knapweedarch.logs import setup_logging
 from knapweedarch.member import create_member, open_member
 from knapweedarch.metrics import create_metrics
@@ -36,39 +36,39 @@
 OPENING_LIMIT_S = 10.0
 
 
-def fail(files, operation, code):
+def make_operation_fail(files, operation, code):
     """Makes a file operation fail; a failed write leaves half of the data."""
-    real = getattr(files, operation)
+    original = getattr(files, operation)
 
     def failing(*args):
         if operation == "write_all":
-            real(args[0], args[1][: len(args[1]) // 2])
+            original(args[0], args[1][: len(args[1]) // 2])
         raise OSError(code, os.strerror(code))
 
     setattr(files, operation, failing)
 
 
-class Pair:
+class JournalAndModel:
     """A journal and a twin in memory that saves the same."""
 
     def __init__(self, folder, seed):
         self.folder, self.random = folder, random.Random(seed)
         self.open()
-        self.twin = Disk(self.journal.identity)
-        self.before = self.twin.restored()
+        self.model = Disk(self.journal.identity)
+        self.before = self.model.restored()
 
     def open(self):
         """Opens the journal of the folder."""
-        self.files = Files(self.folder)
+        self.files = JournalFiles(self.folder)
         self.files.random_bytes = self.random.randbytes
         self.journal = open_journal(self.folder, self.files)
 
     def output(self, snapshot=False):
         """Draws an output that a replica might give."""
-        rng, twin = self.random, self.twin
-        base = twin.snapshot.index if twin.snapshot else 0
-        last = base + len(twin.entries)
-        term = twin.hard_state.term + rng.randrange(2)
+        rng, model = self.random, self.model
+        base = model.snapshot.index if model.snapshot else 0
+        last = base + len(model.entries)
+        term = model.hard_state.term + rng.randrange(2)
         cut = None
         if last > base and rng.random() < 0.2:
             cut = rng.randint(base + 1, last)
@@ -81,15 +81,15 @@
         if not snapshot or last == base:
             return Output(state, truncate_from=cut, entries=entries)
         index = rng.randint(base + 1, last)
-        kept = tuple(e for e in twin.entries if e.index > index)
+        kept = tuple(e for e in model.entries if e.index > index)
         taken = Snapshot(index, term, (), rng.randbytes(2000))
         return Output(state, compacted=taken, tail=kept)
 
     def save(self, output):
         """Saves in both."""
-        self.before = self.twin.restored()
+        self.before = self.model.restored()
         self.journal.save(output)
-        self.twin.save(output)
+        self.model.save(output)
 
 
 def temporary_folder(context):
@@ -100,7 +100,7 @@
 
 @given("a journal with {count:d} random saves and a twin in memory")
 def random_journal(context, count):
-    context.pair = Pair(temporary_folder(context), 1)
+    context.pair = JournalAndModel(temporary_folder(context), 1)
     for number in range(count):
         context.pair.save(context.pair.output(snapshot=number == count // 2))
 
@@ -124,7 +124,7 @@
 
 
 @when("the last record is {damage}")
-def damage_last(context, damage):
+def damage_last_record(context, damage):
     pair = context.pair
     pair.journal.close()
     path = log_path(pair)
@@ -132,7 +132,7 @@
     start = frame_offsets(data)[-2]
     if damage == "followed by zeros":
         path.write_bytes(data + bytes(4096))
-        pair.before = pair.twin.restored()
+        pair.before = pair.model.restored()
     elif damage == "overwritten by zeros":
         path.write_bytes(data[:start] + bytes(len(data) - start))
     for end in range(start, len(data)) if "cut" in damage else ():
@@ -141,13 +141,13 @@
 
 
 @when("the last record holds a copy of an earlier record and is torn")
-def embedded_record(context):
+def save_embedded_record(context):
     pair = context.pair
     # The other journal has another identity and so another seed.
-    other = Pair(temporary_folder(context), 2)
+    other = JournalAndModel(temporary_folder(context), 2)
     other.save(other.output())
     copy = log_path(other).read_bytes()
-    last = pair.twin.restored().entries[-1].index + 1
+    last = pair.model.restored().entries[-1].index + 1
     entry = Entry(last, 9, EntryKind.DATA, copy + bytes(9))
     pair.save(Output(entries=(entry,)))
     pair.journal.close()
@@ -155,7 +155,7 @@
 
 
 @then("the journal opens with all but the last save")
-def opens_before(context):
+def opens_without_last_save(context):
     context.pair.journal.close()
     check_opens_with(context.pair, context.pair.before)
 
@@ -163,18 +163,18 @@
 @then("{count:d} random journals agree with their twins after every restart")
 def journals_agree(context, count):
     for seed in range(count):
-        pair = Pair(temporary_folder(context), seed)
+        pair = JournalAndModel(temporary_folder(context), seed)
         for number in range(12):
             pair.save(pair.output(number > 2 and pair.random.random() < 0.3))
             if pair.random.random() < 0.4:
                 pair.journal.close()
                 pair.open()
                 restored = pair.journal.restored
-                assert restored == pair.twin.restored(), f"seed {seed}"
+                assert restored == pair.model.restored(), f"seed {seed}"
         pair.journal.close()
 
 
-def flip(path, offset):
+def flip_bit(path, offset):
     data = bytearray(path.read_bytes())
     data[offset] ^= 0x10
     path.write_bytes(data)
@@ -183,18 +183,18 @@
 @when("a middle record is corrupt")
 def middle_corrupt(context):
     path = log_path(context.pair)
-    flip(path, frame_offsets(path.read_bytes())[3] + HEADER.size + 2)
+    flip_bit(path, frame_offsets(path.read_bytes())[3] + HEADER.size + 2)
 
 
 @when("the first record is corrupt")
 def first_corrupt(context):
-    flip(log_path(context.pair), HEADER.size + 2)
+    flip_bit(log_path(context.pair), HEADER.size + 2)
 
 
 @when("the journal's file {name} is corrupt")
 def file_corrupt(context, name):
     files = context.pair.files
-    flip(files.folder / files.matching(name)[0], -1)
+    flip_bit(files.folder / files.matching(name)[0], -1)
 
 
 @when("the journal's file {name} is missing")
@@ -221,10 +221,10 @@
 
 
 @when("the operation {operation} fails with {error} while {what} is saved")
-def failure(context, operation, error, what):
+def inject_failure(context, operation, error, what):
     pair = context.pair
     context.operation = operation
-    fail(pair.files, operation, getattr(errno, error))
+    make_operation_fail(pair.files, operation, getattr(errno, error))
     context.last = pair.output(snapshot=what == "a snapshot")
 
 
@@ -241,17 +241,17 @@
 
 
 @then("the journal opens with the last save or without it")
-def opens_either(context):
+def opens_with_or_without_last_save(context):
     pair = context.pair
     pair.journal.close()
     journal = open_journal(pair.folder)
-    pair.twin.save(context.last)
-    assert journal.restored in (pair.before, pair.twin.restored())
+    pair.model.save(context.last)
+    assert journal.restored in (pair.before, pair.model.restored())
     journal.close()
 
 
 @then("the next start writes the log to a new file and syncs it")
-def written_again(context):
+def log_is_rewritten(context):
     pair = context.pair
     save_fails(context)
     old = log_path(pair)
@@ -264,8 +264,8 @@
 
 
 @given("a journal with {count:d} changes and a snapshot after each {each:d}")
-def many_changes(context, count, each):
-    context.pair = pair = Pair(temporary_folder(context), 3)
+def save_many_changes(context, count, each):
+    context.pair = pair = JournalAndModel(temporary_folder(context), 3)
     for number in range(1, count + 1):
         pair.save(pair.output(snapshot=number % each == 0))
 
@@ -297,16 +297,16 @@
     }
     applied = {name: [] for name in replicas}
     for step in range(int(seconds / 0.02)):
-        now, flying = step * 0.02, []
+        now, in_flight = step * 0.02, []
         for name, replica in replicas.items():
             replica.tick(now)
             if data and replica.leads_until(now):
                 replica.propose(data.pop(), now)
             output = replica.take_output()
             context.journals[name].save(output)
-            flying += [(name, *m) for m in output.messages]
+            in_flight += [(name, *m) for m in output.messages]
             applied[name] += [e.data for e in output.committed if e.data]
-        for sender, receiver, message in flying:
+        for sender, receiver, message in in_flight:
             replicas[receiver].receive(sender, message, now)
     return applied
 
@@ -326,7 +326,7 @@
 def open_all(context):
     context.journals = {}
     for seed, (name, folder) in enumerate(context.folders.items()):
-        files = Files(folder)
+        files = JournalFiles(folder)
         files.random_bytes = random.Random(seed).randbytes
         context.journals[name] = open_journal(folder, files)
 
@@ -348,19 +348,19 @@
 
 
 @given("the disk has room again after {count:d} attempts to write")
-def full_for(context, count):
+def fill_disk_for(context, count):
     context.pair.journal.close()
     context.attempts = 0
-    real = Files.write_all
+    original = JournalFiles.write_all
 
     def write_all(files, descriptor, data):
         context.attempts += 1
         if context.attempts <= count:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        real(files, descriptor, data)
+        original(files, descriptor, data)
 
-    Files.write_all = write_all
-    context.add_cleanup(setattr, Files, "write_all", real)
+    JournalFiles.write_all = write_all
+    context.add_cleanup(setattr, JournalFiles, "write_all", original)
 
 
 @when("a member opens the journal")
@@ -379,15 +379,15 @@
 
 
 @then("it opened at the third attempt with everything that was saved")
-def opened_whole(context):
+def opened_with_saved_state(context):
     assert context.attempts == 3, context.attempts
     journal = context.member._journal
-    assert journal.restored == context.pair.twin.restored()
+    assert journal.restored == context.pair.model.restored()
     journal.close()
 
 
 @then("the log tells once that the disk is full")
-def told_once(context):
+def logged_once(context):
     lines = context.log_lines.getvalue().splitlines()
     names = [json.loads(line)["event_name"] for line in lines]
     assert names == ["journal_full"], names
--- a/knapweedarch/journal.py
+++ b/knapweedarch/journal.py
@@ -27,7 +27,7 @@
     JournalError,
     JournalFullError,
 )
-from knapweedarch.journal_files import Files
+from knapweedarch.journal_files import JournalFiles
 from knapweedarch.replica_messages import (
     Entry,
     HardState,
@@ -39,7 +39,7 @@
 )
 
 IDENTITY_BYTES = 8
-NO_ROOM = (errno.ENOSPC, errno.EDQUOT)
+DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 MAGIC = b"KWJ1"
 # Magic, frame number, size of the content, checksum of all that and of the
 # content.
@@ -65,21 +65,23 @@
     entries: tuple[Entry, ...]
 
 
-_FRAMES = create_codec(_Start, _Change, Snapshot)
+_FRAME_CODEC = create_codec(_Start, _Change, Snapshot)
 
 
-def _identity_file(identity: str) -> bytes:
+def _encode_identity(identity: str) -> bytes:
     checksum = xxhash.xxh64_hexdigest(identity.encode())
     return f"{identity} {checksum}\n".encode()
 
 
-def _pack(number: int, content: bytes, seed: int) -> bytes:
+def _pack_frame(number: int, content: bytes, seed: int) -> bytes:
     head = HEADER.pack(MAGIC, number, len(content), 0)
     checksum = xxhash.xxh64_intdigest(head + content, seed)
     return HEADER.pack(MAGIC, number, len(content), checksum) + content
 
 
-def _unpack(data: bytes, offset: int, seed: int) -> tuple[int, bytes] | None:
+def _unpack_frame(
+    data: bytes, offset: int, seed: int
+) -> tuple[int, bytes] | None:
     """Returns number and content of the frame at `offset` if it is whole."""
     if len(data) - offset < HEADER.size:
         return None
@@ -94,10 +96,10 @@
     return number, content
 
 
-def _has_frame(data: bytes, offset: int, seed: int) -> bool:
+def _contains_frame(data: bytes, offset: int, seed: int) -> bool:
     """Tells whether a whole frame lies anywhere after `offset`."""
     while (offset := data.find(MAGIC, offset)) >= 0:
-        if _unpack(data, offset, seed) is not None:
+        if _unpack_frame(data, offset, seed) is not None:
             return True
         offset += 1
     return False
@@ -114,9 +116,9 @@
         restored: What the files held at the start.
     """
 
-    def __init__(self, files: Files):
+    def __init__(self, files: JournalFiles):
         self._files = files
-        self._failed = ""
+        self._failure = ""
         try:
             files.lock()
             files.remove_temporary()
@@ -127,7 +129,7 @@
             self.restored = self._load()
         except OSError as exc:
             files.close()
-            full = exc.errno in NO_ROOM
+            full = exc.errno in DISK_FULL_ERRNOS
             error = JournalFullError if full else JournalError
             raise error(f"cannot open the journal: {exc}") from exc
         except JournalError:
@@ -140,13 +142,13 @@
         if "identity" in self._files.names():
             content = self._files.read("identity")
             identity = content[: 2 * IDENTITY_BYTES].decode("ascii", "replace")
-            if content != _identity_file(identity):
+            if content != _encode_identity(identity):
                 raise JournalError("the file identity is corrupt")
             return identity
         if self._log_numbers() or self._files.matching("snapshot-"):
             raise JournalError("the file identity is missing")
         identity = self._files.random_bytes(IDENTITY_BYTES).hex()
-        self._files.write_new("identity", _identity_file(identity))
+        self._files.write_new("identity", _encode_identity(identity))
         return identity
 
     def _log_numbers(self) -> list[int]:
@@ -159,39 +161,39 @@
     def _load(self) -> Restored:
         numbers = self._log_numbers()
         if not numbers:
-            self._number = self._frame = 0
+            self._log_number = self._next_frame_number = 0
             self._hard_state = HardState()
-            self._remove_old("")
+            self._remove_obsolete("")
             return Restored(self.identity)
-        self._number = numbers[-1]
-        name = f"log-{self._number}"
+        self._log_number = numbers[-1]
+        name = f"log-{self._log_number}"
         data = self._files.read(name)
         frames, end = self._read_frames(data)
         if not frames or not isinstance(frames[0], _Start):
             raise JournalError(f"the start of {name} is corrupt")
-        if end < len(data) and _has_frame(data, end, self._seed):
+        if end < len(data) and _contains_frame(data, end, self._seed):
             raise JournalError(
                 f"{name} is corrupt at byte {end}, before a synced record"
             )
-        self._frame = len(frames)
+        self._next_frame_number = len(frames)
         restored = self._replay(frames)
-        self._copy_log(data[:end])
-        self._remove_old(self._snapshot_name(restored.snapshot))
+        self._rewrite_log(data[:end])
+        self._remove_obsolete(self._snapshot_name(restored.snapshot))
         return restored
 
-    def _copy_log(self, data: bytes) -> None:
+    def _rewrite_log(self, data: bytes) -> None:
         """Writes the whole log anew.
 
         If a sync failed before the process ended, what was read may exist in
         memory only, and a second sync of the same file would not tell.
         """
-        self._number += 1
-        self._files.write_new(f"log-{self._number}", data)
-        self._files.open_log(f"log-{self._number}")
+        self._log_number += 1
+        self._files.write_new(f"log-{self._log_number}", data)
+        self._files.open_log(f"log-{self._log_number}")
 
     def _read_frames(self, data: bytes) -> tuple[list[object], int]:
         frames, offset = [], 0
-        while frame := _unpack(data, offset, self._seed):
+        while frame := _unpack_frame(data, offset, self._seed):
             number, content = frame
             if number != len(frames):
                 raise JournalError(f"record {len(frames)} is missing")
@@ -201,7 +203,7 @@
 
     def _decode(self, content: bytes) -> object:
         try:
-            return _FRAMES.decode(content)
+            return _FRAME_CODEC.decode(content)
         except CodecError as exc:
             raise JournalError(f"a record is malformed: {exc}") from exc
 
@@ -232,7 +234,7 @@
         name = f"snapshot-{start.snapshot_index}-{start.snapshot_term}"
         if name not in self._files.names():
             raise JournalError(f"the file {name} is missing")
-        frame = _unpack(self._files.read(name), 0, self._seed)
+        frame = _unpack_frame(self._files.read(name), 0, self._seed)
         if frame is None:
             raise JournalError(f"the file {name} is corrupt")
         return self._decode(frame[1])
@@ -246,7 +248,7 @@
             JournalError: The journal is not blank, is not among the members,
                 or the files cannot be written.
         """
-        if not self.restored.blank or self._number:
+        if not self.restored.blank or self._log_number:
             raise JournalError("the journal is not blank")
         if self.identity not in {m.identity for m in members if m.voter}:
             raise JournalError("this member is not among the first voters")
@@ -261,51 +263,56 @@
         Raises:
             JournalError: A file operation failed, now or earlier.
         """
-        if self._failed:
-            raise JournalError(f"the journal failed earlier: {self._failed}")
+        if self._failure:
+            raise JournalError(f"the journal failed earlier: {self._failure}")
         if not output.needs_sync:
             return
         try:
             self._save(output)
         except OSError as exc:
-            self._failed = str(exc)
+            self._failure = str(exc)
             raise JournalError(f"cannot save: {exc}") from exc
 
     def _save(self, output: Output) -> None:
         self._hard_state = output.hard_state or self._hard_state
         snapshot = output.compacted or output.snapshot
         if snapshot is not None:
-            self._start_log(snapshot, output.tail)
-        elif not self._number:
-            self._start_log(None, output.entries)
+            self._start_log_file(snapshot, output.tail)
+        elif not self._log_number:
+            self._start_log_file(None, output.entries)
         else:
             change = _Change(
                 output.hard_state, output.truncate_from, output.entries
             )
-            content = _FRAMES.encode(change)
-            self._files.append(_pack(self._frame, content, self._seed))
-            self._frame += 1
+            content = _FRAME_CODEC.encode(change)
+            self._files.append(
+                _pack_frame(self._next_frame_number, content, self._seed)
+            )
+            self._next_frame_number += 1
 
-    def _start_log(
+    def _start_log_file(
         self, snapshot: Snapshot | None, entries: tuple[Entry, ...]
     ) -> None:
         index = term = 0
         if snapshot is not None:
             index, term = snapshot.index, snapshot.term
-            content = _FRAMES.encode(snapshot)
+            content = _FRAME_CODEC.encode(snapshot)
             self._files.write_new(
-                self._snapshot_name(snapshot), _pack(0, content, self._seed)
+                self._snapshot_name(snapshot),
+                _pack_frame(0, content, self._seed),
             )
         start = _Start(index, term, self._hard_state, entries)
-        name = f"log-{self._number + 1}"
-        self._files.write_new(name, _pack(0, _FRAMES.encode(start), self._seed))
-        self._number += 1
-        self._frame = 1
+        name = f"log-{self._log_number + 1}"
+        self._files.write_new(
+            name, _pack_frame(0, _FRAME_CODEC.encode(start), self._seed)
+        )
+        self._log_number += 1
+        self._next_frame_number = 1
         self._files.open_log(name)
-        self._remove_old(self._snapshot_name(snapshot))
+        self._remove_obsolete(self._snapshot_name(snapshot))
 
-    def _remove_old(self, snapshot_name: str) -> None:
-        kept = {snapshot_name, f"log-{self._number}"}
+    def _remove_obsolete(self, snapshot_name: str) -> None:
+        kept = {snapshot_name, f"log-{self._log_number}"}
         for prefix in ("log-", "snapshot-"):
             for name in self._files.matching(prefix):
                 if name not in kept:
@@ -313,15 +320,15 @@
 
     def close(self) -> None:
         """Closes the files."""
-        self._failed = self._failed or "closed"
+        self._failure = self._failure or "closed"
         self._files.close()
 
 
-def open_journal(folder: str, files: Files | None = None) -> Journal:
+def open_journal(folder: str, files: JournalFiles | None = None) -> Journal:
     """Opens the journal in a folder; a missing folder is created.
 
     Raises:
         JournalFullError: The disk has no room; nothing is lost.
         JournalError: The files are corrupt, in use or cannot be read.
     """
-    return Journal(files or Files(folder))
+    return Journal(files or JournalFiles(folder))
--- a/knapweedarch/journal_files.py
+++ b/knapweedarch/journal_files.py
@@ -4,30 +4,30 @@
 import os
 import pathlib
 
-TEMPORARY = ".tmp"
+TEMPORARY_SUFFIX = ".tmp"
 
 
-class Files:
+class JournalFiles:
     """Files in one folder; every write is durable when the call returns."""
 
     def __init__(self, folder: str | os.PathLike):
         self.folder = pathlib.Path(folder)
-        self._log = -1
-        self._lock = -1
+        self._log_fd = -1
+        self._lock_fd = -1
 
     def lock(self) -> None:
         """Creates the folder and keeps a second process out of it."""
         self.folder.mkdir(parents=True, exist_ok=True)
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
-        self._lock = os.open(self.folder / "lock", flags, 0o600)
-        fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        self._lock_fd = os.open(self.folder / "lock", flags, 0o600)
+        fcntl.flock(self._lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
     def close(self) -> None:
         """Closes the log and lets other processes use the folder."""
-        for descriptor in (self._log, self._lock):
+        for descriptor in (self._log_fd, self._lock_fd):
             if descriptor >= 0:
                 os.close(descriptor)
-        self._log = self._lock = -1
+        self._log_fd = self._lock_fd = -1
 
     def names(self) -> set[str]:
         """Lists the files."""
@@ -38,7 +38,7 @@
         return sorted(
             name
             for name in self.names()
-            if name.startswith(prefix) and not name.endswith(TEMPORARY)
+            if name.startswith(prefix) and not name.endswith(TEMPORARY_SUFFIX)
         )
 
     def random_bytes(self, size: int) -> bytes:
@@ -56,12 +56,12 @@
     def remove_temporary(self) -> None:
         """Removes files that were not complete when a process ended."""
         for name in self.names():
-            if name.endswith(TEMPORARY):
+            if name.endswith(TEMPORARY_SUFFIX):
                 self.remove(name)
 
     def write_new(self, name: str, data: bytes) -> None:
         """Writes a file that exists whole or not at all after a crash."""
-        temporary = name + TEMPORARY
+        temporary = name + TEMPORARY_SUFFIX
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
         descriptor = os.open(self.folder / temporary, flags, 0o600)
         try:
@@ -78,16 +78,16 @@
 
     def open_log(self, name: str) -> None:
         """Opens a file for `append`."""
-        if self._log >= 0:
-            os.close(self._log)
-            self._log = -1
+        if self._log_fd >= 0:
+            os.close(self._log_fd)
+            self._log_fd = -1
         flags = os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC
-        self._log = os.open(self.folder / name, flags)
+        self._log_fd = os.open(self.folder / name, flags)
 
     def append(self, data: bytes) -> None:
         """Appends to the log and syncs it."""
-        self.write_all(self._log, data)
-        self.sync(self._log)
+        self.write_all(self._log_fd, data)
+        self.sync(self._log_fd)
 
     def write_all(self, descriptor: int, data: bytes) -> None:
         """Writes all bytes; a disk may take only a part at a time."""
--- a/knapweedarch/links.py
+++ b/knapweedarch/links.py
@@ -3,8 +3,8 @@
 A frame is a 4-byte length and that many bytes. Both ends prove that they hold
 the shared credential (HMAC-SHA256 over the other end's nonce) before the first
 message. Each end sends a keep-alive when it is idle, and closes a link on
-which nothing arrived for `SILENCE_S`: a connection that a middle box forgot
-stays open for good at both ends.
+which nothing arrived for `LINK_TIMEOUT_S`: a connection that a middle box
+forgot stays open for good at both ends.
 """
 
 import hmac
@@ -20,11 +20,11 @@
 from knapweedarch.exceptions import CodecError, CredentialError, LinkError
 from knapweedarch.logs import log
 
-KEEP_ALIVE_S = 0.3
-SILENCE_S = 1.0
+KEEP_ALIVE_INTERVAL_S = 0.3
+LINK_TIMEOUT_S = 1.0
 # An instance without power lets a connection hang. The kernel asks again only
 # after a second, by when the instance may have been up for most of it.
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 MAX_FRAME_BYTES = 8 * 1024 * 1024
 MAX_QUEUED_FRAMES = 4096
 MAX_QUEUED_BYTES = 32 * 1024 * 1024
@@ -73,8 +73,8 @@
     body: bytes
 
 
-_FRAMES = create_codec(Challenge, Proof, Ping, Call, Reply, Send)
-_PING = _FRAMES.encode(Ping())
+_FRAME_CODEC = create_codec(Challenge, Proof, Ping, Call, Reply, Send)
+_PING_FRAME = _FRAME_CODEC.encode(Ping())
 Handler = Callable[["Link", object], Awaitable[object | None]]
 
 
@@ -96,8 +96,8 @@
         self._next_call = 0
         self._queued_bytes = 0
         self._outbox: list[bytes] = []
-        self._wake = anyio.Event()
-        self._heard_at = self._wrote_at = anyio.current_time()
+        self._outbox_changed = anyio.Event()
+        self._last_receive_at = self._last_send_at = anyio.current_time()
         self._writing_since: float | None = None
         self.closed = anyio.Event()
 
@@ -120,24 +120,24 @@
             raise LinkError("the link is closed")
         self._next_call += 1
         number = self._next_call
-        waiting = [anyio.Event(), None]
-        self._calls[number] = waiting
+        pending = [anyio.Event(), None]
+        self._calls[number] = pending
         try:
             self._queue(Call(number, self._codec.encode(message)))
             with anyio.move_on_after(timeout_s):
-                await waiting[0].wait()
+                await pending[0].wait()
         finally:
             del self._calls[number]
-        if waiting[1] is None:
+        if pending[1] is None:
             raise LinkError(
                 "no reply" if not self.closed.is_set() else "closed"
             )
-        return self._codec.decode(waiting[1])
+        return self._codec.decode(pending[1])
 
     def _queue(self, frame: object) -> None:
         if self.closed.is_set():
             return
-        self._queue_frame(_FRAMES.encode(frame))
+        self._queue_frame(_FRAME_CODEC.encode(frame))
 
     def _queue_frame(self, data: bytes) -> None:
         if len(data) > MAX_FRAME_BYTES:
@@ -150,14 +150,14 @@
             self.close()
             raise LinkError("the other end reads too slowly")
         self._outbox.append(struct.pack(">I", len(data)) + data)
-        self._wake.set()
+        self._outbox_changed.set()
 
     def close(self) -> None:
         """Closes the link; pending calls fail."""
         self.closed.set()
-        self._wake.set()
-        for waiting in self._calls.values():
-            waiting[0].set()
+        self._outbox_changed.set()
+        for pending in self._calls.values():
+            pending[0].set()
 
     async def run(self) -> None:
         """Carries messages until the link closes."""
@@ -165,7 +165,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(self._write)
                 group.start_soon(self._read, group)
-                group.start_soon(self._watch)
+                group.start_soon(self._monitor)
                 await self.closed.wait()
                 group.cancel_scope.cancel()
         finally:
@@ -173,33 +173,33 @@
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(self._stream)
 
-    async def _watch(self) -> None:
+    async def _monitor(self) -> None:
         """Closes a silent link and sends keep-alives on an idle one.
 
         One task looks at times that reads and writes leave behind; a timeout
         around each read and write cost half of the work of a link.
         """
         while not self.closed.is_set():
-            await anyio.sleep(KEEP_ALIVE_S)
+            await anyio.sleep(KEEP_ALIVE_INTERVAL_S)
             now = anyio.current_time()
             stuck = (
                 self._writing_since is not None
-                and now - self._writing_since > SILENCE_S
+                and now - self._writing_since > LINK_TIMEOUT_S
             )
-            if stuck or now - self._heard_at > SILENCE_S:
+            if stuck or now - self._last_receive_at > LINK_TIMEOUT_S:
                 self.close()
-            elif now - self._wrote_at >= KEEP_ALIVE_S / 2:
-                self._queue_frame(_PING)
+            elif now - self._last_send_at >= KEEP_ALIVE_INTERVAL_S / 2:
+                self._queue_frame(_PING_FRAME)
 
     async def _write(self) -> None:
         try:
             while not self.closed.is_set():
                 if not self._outbox:
-                    self._wake = anyio.Event()
-                    await self._wake.wait()
+                    self._outbox_changed = anyio.Event()
+                    await self._outbox_changed.wait()
                 frames, self._outbox = self._outbox, []
                 self._queued_bytes = 0
-                self._writing_since = self._wrote_at = anyio.current_time()
+                self._writing_since = self._last_send_at = anyio.current_time()
                 await self._stream.send(b"".join(frames))
                 self._writing_since = None
         except (
@@ -217,19 +217,19 @@
                     case Send(body=body):
                         await self._handler(self, self._codec.decode(body))
                     case Call() as call:
-                        group.start_soon(self._answer, call)
+                        group.start_soon(self._handle_call, call)
                     case Reply(number=number, body=body):
                         # A reply that comes after its timeout has no waiter.
-                        if waiting := self._calls.get(number):
-                            waiting[1] = body
-                            waiting[0].set()
+                        if pending := self._calls.get(number):
+                            pending[1] = body
+                            pending[0].set()
         except LinkError:
             self.close()
         except CodecError as exc:
             log("link_message_refused", peer=self.peer, reason=str(exc))
             self.close()
 
-    async def _answer(self, call: Call) -> None:
+    async def _handle_call(self, call: Call) -> None:
         try:
             reply = await self._handler(self, self._codec.decode(call.body))
             if reply is not None:
@@ -244,7 +244,7 @@
         (size,) = struct.unpack(">I", await self._read_exactly(4))
         if size > MAX_FRAME_BYTES:
             raise LinkError(f"frame of {size} bytes is too large")
-        return _FRAMES.decode(await self._read_exactly(size))
+        return _FRAME_CODEC.decode(await self._read_exactly(size))
 
     async def _read_exactly(self, size: int) -> bytes:
         while len(self._buffer) < size:
@@ -257,13 +257,13 @@
                 anyio.ClosedResourceError,
             ) as exc:
                 raise LinkError("the link was closed") from exc
-            self._heard_at = anyio.current_time()
+            self._last_receive_at = anyio.current_time()
         data = bytes(self._buffer[:size])
         del self._buffer[:size]
         return data
 
     async def _write_frame(self, frame: object) -> None:
-        data = _FRAMES.encode(frame)
+        data = _FRAME_CODEC.encode(frame)
         try:
             await self._stream.send(struct.pack(">I", len(data)) + data)
         except (OSError, anyio.BrokenResourceError) as exc:
@@ -282,24 +282,24 @@
             LinkError: The link failed.
         """
         try:
-            with anyio.fail_after(SILENCE_S):
-                await self._prove(credential, role)
+            with anyio.fail_after(LINK_TIMEOUT_S):
+                await self._exchange_proofs(credential, role)
         except TimeoutError as exc:
             raise LinkError("the other end does not answer") from exc
 
-    async def _prove(self, credential: bytes, role: bytes) -> None:
-        other = b"server" if role == b"client" else b"client"
+    async def _exchange_proofs(self, credential: bytes, role: bytes) -> None:
+        other_role = b"server" if role == b"client" else b"client"
         nonce = os.urandom(NONCE_BYTES)
         await self._write_frame(Challenge(nonce))
-        theirs = await self._read_frame()
-        if not isinstance(theirs, Challenge):
+        challenge = await self._read_frame()
+        if not isinstance(challenge, Challenge):
             raise CredentialError("the other end sent no challenge")
-        proof = hmac.digest(credential, role + theirs.nonce, "sha256")
+        proof = hmac.digest(credential, role + challenge.nonce, "sha256")
         await self._write_frame(Proof(proof))
         answer = await self._read_frame()
-        want = hmac.digest(credential, other + nonce, "sha256")
+        expected = hmac.digest(credential, other_role + nonce, "sha256")
         if not isinstance(answer, Proof) or not hmac.compare_digest(
-            answer.digest, want
+            answer.digest, expected
         ):
             raise CredentialError("the other end holds another credential")
 
@@ -310,11 +310,11 @@
     """Opens a link; the caller must run it.
 
     Raises:
-        LinkError: No connection within `CONNECT_S`.
+        LinkError: No connection within `CONNECT_TIMEOUT_S`.
         CredentialError: The other end holds another credential.
     """
     try:
-        with anyio.fail_after(CONNECT_S):
+        with anyio.fail_after(CONNECT_TIMEOUT_S):
             stream = await anyio.connect_tcp(host, port)
     except (OSError, TimeoutError) as exc:
         raise LinkError(f"cannot connect to {host}:{port}") from exc
