--- a/features/checked_group.py
+++ b/features/checked_group.py
@@ -1,15 +1,15 @@
-"""A virtual group whose promises are checked after every step."""
+"""A virtual group whose invariants are checked after every step."""
 
 from bench.virtual_group import Node, VirtualGroup
 from knapweedarch.replica import Entry, EntryKind, Snapshot
 
 
 class BrokenInvariantError(Exception):
-    """A promise of the replicated log does not hold."""
+    """An invariant of the replicated log is violated."""
 
 
 class CheckedGroup(VirtualGroup):
-    """Raises `BrokenInvariantError` when members contradict each other."""
+    """Checks a group; raises `BrokenInvariantError` on a violation."""
 
     def __init__(self, *args, **variant):
         self._leaders: dict[int, str] = {}
@@ -19,7 +19,7 @@
         super().__init__(*args, **variant)
 
     def step(self) -> None:
-        """Lets one step pass and checks who leads."""
+        """Runs one step and checks the leaders."""
         super().step()
         for node in self.nodes.values():
             if node.replica is not None and node.replica.leader_since:
@@ -27,10 +27,12 @@
 
     def _apply(self, node: Node, entry: Entry) -> None:
         if entry.index != node.applied + 1:
-            raise BrokenInvariantError(f"{entry.index} applied out of order")
+            raise BrokenInvariantError(
+                f"entry {entry.index} was applied out of order"
+            )
         known = self._committed.setdefault(entry.index, entry)
         if known != entry:
-            raise BrokenInvariantError(f"committed {entry.index} changed")
+            raise BrokenInvariantError(f"committed entry {entry.index} changed")
         self._committed_in.setdefault(entry.index, node.replica.term)
         super()._apply(node, entry)
 
@@ -38,7 +40,9 @@
         super()._restore(node, snapshot)
         entries = [self._committed[i + 1] for i in range(snapshot.index)]
         if node.state != [e.data for e in entries if e.kind is EntryKind.DATA]:
-            raise BrokenInvariantError("a snapshot differs from the log")
+            raise BrokenInvariantError(
+                "a snapshot differs from the committed entries"
+            )
 
     def _check_leader(self, node: Node) -> None:
         term, identity = node.replica.term, node.replica.identity
@@ -46,24 +50,26 @@
             self._leaders[term] = identity
             self._check_complete(node)
         elif self._leaders[term] != identity:
-            raise BrokenInvariantError(f"two leaders in {term}")
+            raise BrokenInvariantError(f"two leaders in term {term}")
         if (end := node.lease_end(self.now)) > self.now:
             holder, held_until = self._lease
             if holder != identity and self.now < held_until:
                 raise BrokenInvariantError(
-                    f"two leader leases: {node.name} has one"
+                    f"two leader leases: {node.name} holds one"
                     f" {held_until - self.now:.3f} s before another ends"
                 )
             self._lease = (identity, end)
 
     def transfer_leadership(self, name: str) -> bool:
-        """Lets a leader hand over, which ends its lease at once."""
+        """Makes a leader transfer its leadership, which ends its lease."""
         node = self.nodes[name]
         led = node.replica.leader_since is not None
         gave_up = node.replica.transfer_leadership(node.clock(self.now))
         if led and gave_up:
             if node.lease_end(self.now) > self.now:
-                raise BrokenInvariantError("a lease outlasts a hand-over")
+                raise BrokenInvariantError(
+                    "a lease outlasts a leadership transfer"
+                )
             if self._lease[0] == node.replica.identity:
                 self._lease = (node.replica.identity, self.now)
         return led and gave_up
@@ -72,9 +78,11 @@
         log = {e.index: e for e in node.disk.entries}
         start = getattr(node.disk.snapshot, "index", 0)
         for index, entry in self._committed.items():
-            # A frozen candidate may find the votes of an old term only after
-            # a newer term has committed more.
+            # A frozen candidate may receive the votes of an old term only
+            # after a newer term has committed more entries.
             if self._committed_in[index] >= node.replica.term:
                 continue
             if index > start and log.get(index) != entry:
-                raise BrokenInvariantError(f"new leader lacks {index}")
+                raise BrokenInvariantError(
+                    f"new leader lacks committed entry {index}"
+                )
--- a/features/replication.feature
+++ b/features/replication.feature
@@ -11,7 +11,7 @@
   Scenario: A leader that stops hands over without an election timeout
     Given 3 replicas
     When 40 log entries are proposed over 2.0 s
-    And the leading replica hands over
+    And the leading replica transfers its leadership
     Then another replica holds the leader lease within 0.3 s
     And every replica has applied 40 log entries
 
@@ -27,15 +27,15 @@
     Then it says that it does not lead the log within 1.3 s
 
   Scenario: A member that lagged behind a snapshot catches up
-    Given 3 replicas that compact each 5 log entries
+    Given 3 replicas that compact every 5 log entries
     When the following replica is isolated
     And 60 log entries are proposed over 2.0 s
     And the replicas' network heals
     Then every replica has applied 60 log entries
 
   Scenario: A large snapshot is sent in bounded parts over a bad network
-    Given 3 replicas that compact each 4 log entries
-    And 20% of the replicas' messages are lost and 10% come twice
+    Given 3 replicas that compact every 4 log entries
+    And 20% of the replicas' messages are lost and 10% are duplicated
     When the following replica is isolated
     And 12 log entries of 900000 bytes are proposed over 3.0 s
     And the replicas' network heals
@@ -49,10 +49,10 @@
     Then every replica has applied 20 log entries
 
   Scenario Outline: A member that lost its disk gets a new identity and a vote
-    Given 3 replicas that compact each 5 log entries
+    Given 3 replicas that compact every 5 log entries
     When 20 log entries are proposed over 1.0 s
     And the <role> replica loses its disk
-    Then all 3 replicas are voters under their present identities within 6.0 s
+    Then all 3 replicas are voters under their current identities within 6.0 s
     And every replica has applied 20 log entries
 
     Examples:
@@ -63,7 +63,7 @@
   Scenario: A member that gets its first disk back keeps its vote
     Given 3 replicas
     When the following replica runs on another disk until it is a learner
-    Then all 3 replicas are voters under their present identities within 5.0 s
+    Then all 3 replicas are voters under their current identities within 5.0 s
 
   Scenario: A second process under the name of a live member is not admitted
     Given 3 replicas
@@ -71,10 +71,10 @@
     Then after 5.0 s the member list is unchanged
 
   Scenario: A new member starts as a learner and becomes a voter
-    Given 3 replicas that compact each 5 log entries
+    Given 3 replicas that compact every 5 log entries
     When 20 log entries are proposed over 1.0 s
     And a fourth replica is proposed
-    Then all 4 replicas are voters under their present identities within 3.0 s
+    Then all 4 replicas are voters under their current identities within 3.0 s
     And every replica has applied 20 log entries
 
   Scenario: A leader that is removed hands over
@@ -98,43 +98,44 @@
     Then no replica holds the leader lease for 5.0 s
 
   Scenario: Members that all restart elect a leader without the wait
-    Guards against an outage that lasts as long as a promise to nobody.
+    Guards against an outage in which restarted voters wait for a lease that no
+    process can hold.
     Given 5 replicas
     When all replicas crash and start again within 0.2 s
     Then a replica holds the leader lease within 0.3 s of the last start
 
   Scenario: Members of which one did not restart wait
-    Guards against a second leader while the first one's lease runs.
+    Guards against a second leader while the first leader's lease still holds.
     Given 5 replicas
     When all replicas but the leading one crash and start again within 0.2 s
     Then no other replica holds the leader lease within 0.3 s of the last start
 
   Scenario Outline: Each mechanism prevents the failure it is there for
     Given the replicas are built <variant>
-    When the replicas meet this: <schedule>
-    Then the replicas end with this: <result>
+    When the replicas run the fault schedule: <schedule>
+    Then the outcome of the schedule is: <result>
 
     Examples:
-      | variant                 | schedule                                   | result                    |
-      | as designed             | a follower is cut off and back five times  | one replica led           |
-      | without pre-vote        | a follower is cut off and back five times  | the leader was deposed    |
-      | as designed             | a follower cannot reach the leader only    | no promise is broken      |
-      | without lease wait      | a follower cannot reach the leader only    | two leader leases         |
-      | as designed             | a voter restarts while the lease runs      | no promise is broken      |
-      | without restart wait    | a voter restarts while the lease runs      | two leader leases         |
-      | as designed             | all but the lease holder restart           | no promise is broken      |
-      | to count a majority as all | all but the lease holder restart        | two leader leases         |
-      | as designed             | a member returns with part of the log      | no promise is broken      |
-      | to count names          | a member returns with part of the log      | a committed entry is lost |
-      | as designed             | a second member is lost after a repair     | a leader is elected       |
-      | without learners        | a second member is lost after a repair     | no leader is elected      |
-      | as designed             | a member crashes between answer and sync   | no promise is broken      |
-      | to answer before a sync | a member crashes between answer and sync   | a committed entry is lost |
-      | as designed             | an entry of an old term reaches a majority | no promise is broken      |
-      | to commit old terms     | an entry of an old term reaches a majority | a committed entry is lost |
+      | variant                        | schedule                                       | result                    |
+      | as designed                    | a follower is isolated five times              | one replica led           |
+      | without pre-vote               | a follower is isolated five times              | the leader was replaced   |
+      | as designed                    | one follower loses only its link to the leader | no invariant is violated  |
+      | without lease wait             | one follower loses only its link to the leader | two leader leases         |
+      | as designed                    | a voter restarts while the lease holds         | no invariant is violated  |
+      | without restart wait           | a voter restarts while the lease holds         | two leader leases         |
+      | as designed                    | all voters but the lease holder restart        | no invariant is violated  |
+      | to count a majority as all     | all voters but the lease holder restart        | two leader leases         |
+      | as designed                    | a member rejoins with part of the log          | no invariant is violated  |
+      | to count votes per name        | a member rejoins with part of the log          | a committed entry is lost |
+      | as designed                    | a second disk is lost after a repair           | a leader is elected       |
+      | without learners               | a second disk is lost after a repair           | no leader is elected      |
+      | as designed                    | a member crashes between reply and sync        | no invariant is violated  |
+      | to reply before a sync         | a member crashes between reply and sync        | a committed entry is lost |
+      | as designed                    | an entry of an old term reaches a majority     | no invariant is violated  |
+      | to commit entries of old terms | an entry of an old term reaches a majority     | a committed entry is lost |
 
   Scenario: No promise is broken under random faults
-    Then 2000 seeded fault schedules break no promise within 60 s of CPU time
+    Then 2000 seeded fault schedules violate no invariant within 60 s of CPU time
 
   Scenario: The example of the coordination page runs
     Then the example in "docs/COORDINATION.md" runs
--- a/features/replication_faults.py
+++ b/features/replication_faults.py
@@ -1,4 +1,4 @@
-"""Replicas without one mechanism, and schedules of faults."""
+"""Replicas that lack one mechanism each, and fault schedules."""
 
 import random
 
@@ -10,14 +10,14 @@
 
 
 class WithoutPreVote(Replica):
-    """Enters a new term whenever it misses the leader."""
+    """Starts an election in a new term without a pre-vote."""
 
     def _start_pre_vote(self, now):
         self._start_election(now)
 
 
 class WithoutLeaseWait(Replica):
-    """Votes although it has just heard a leader."""
+    """Votes although it has recently heard from a leader."""
 
     def _refuses_votes(self, now):
         return self._leadership is not None
@@ -31,14 +31,14 @@
 
 
 class WithoutLearners(Replica):
-    """Takes every new identity for caught up."""
+    """Treats every new identity as caught up."""
 
     def _caught_up(self, identity):
         return True
 
 
 class CommitsOldTerms(Replica):
-    """Commits entries of earlier terms by counting."""
+    """Commits entries of earlier terms by counting replicas."""
 
     def _commit(self):
         leadership = self._leadership
@@ -50,7 +50,7 @@
 
 
 class CountsMajorityAsAll(Replica):
-    """Takes a majority of restarted voters for all of them."""
+    """Treats a majority of restarted voters as all of them."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -71,14 +71,14 @@
     "without restart wait": {"replica_class": WithoutRestartWait},
     "to count a majority as all": {"replica_class": CountsMajorityAsAll},
     "without learners": {"replica_class": WithoutLearners},
-    "to commit old terms": {"replica_class": CommitsOldTerms},
-    "to count names": {"keep_identity": True},
-    "to answer before a sync": {"save_before_send": False},
+    "to commit entries of old terms": {"replica_class": CommitsOldTerms},
+    "to count votes per name": {"keep_identity": True},
+    "to reply before a sync": {"save_before_send": False},
 }
 
 
 def isolate_follower_repeatedly(group: CheckedGroup) -> None:
-    """Cuts a follower off and lets it back five times."""
+    """Isolates and reconnects a follower five times."""
     _, follower, _ = group.elected()
     for _ in range(5):
         group.isolate(follower)
@@ -95,7 +95,7 @@
 
 
 def restart_voter_during_lease(group: CheckedGroup) -> None:
-    """Restarts the voter that a leader's lease relies on."""
+    """Restarts the voter on which the leader's lease depends."""
     leader, follower, voter = group.elected()
     group.sever(leader, follower)
     group.run(2.0)
@@ -106,7 +106,7 @@
 
 
 def restart_all_but_lease_holder(group: CheckedGroup) -> None:
-    """Restarts all voters but the one that holds the lease."""
+    """Restarts all voters except the lease holder."""
     leader, *others = group.elected()
     group.isolate(leader)
     for name in others:
@@ -117,7 +117,7 @@
 
 
 def rejoin_with_partial_log(group: CheckedGroup) -> None:
-    """Lets a member without its disk catch up with a part of the log."""
+    """Lets a member that lost its disk catch up on only part of the log."""
     leader, replaced, lagging = group.elected()
     group.isolate(lagging)
     group.propose(b"first")
@@ -128,8 +128,8 @@
     group.heal()
     group.start(replaced)
     group.start(leader)
-    # The lagging member's vote elects the old leader, but then it hears
-    # neither of the last entries.
+    # The lagging member's vote elects the old leader, but the member receives
+    # neither of the last two entries.
     group.run_until(lambda: group.nodes[leader].replica.leader_since, 10.0)
     group.sever(leader, lagging)
     for _ in range(40):
@@ -141,7 +141,7 @@
 
 
 def lose_second_disk(group: CheckedGroup) -> None:
-    """Loses a second member as soon as the first one counts again."""
+    """Loses a second disk as soon as the first member is a voter again."""
     leader, replaced, _ = group.elected()
     group.propose(b"kept")
     group.run(0.3)
@@ -160,7 +160,7 @@
 
 
 def crash_between_reply_and_sync(group: CheckedGroup) -> None:
-    """Crashes a follower after it answered and before it synced."""
+    """Crashes a follower after its reply and before its sync."""
     leader, acknowledging, lagging = group.elected()
     group.isolate(lagging)
     group.propose(b"kept")
@@ -174,10 +174,10 @@
 
 
 def replicate_old_term_entry(group: CheckedGroup) -> None:
-    """Lets an entry of term 2 reach a majority in term 4.
+    """Replicates an entry of term 2 to a majority in term 4.
 
-    A member holds another entry of term 3 in the same place; it may still be
-    elected by members that hold the entry of term 2.
+    Another member holds an entry of term 3 at the same index, and members that
+    hold the entry of term 2 may still elect it.
     """
     for name in group.nodes:
         group.crash(name)
@@ -194,8 +194,10 @@
         third_log = group.nodes[third].disk.entries
         if len(third_log) == 2:
             break
-    assert len(third_log) == 2, "the schedule did not reach its crux"
-    # One more step lets the answer arrive, but not the next entry.
+    assert len(third_log) == 2, (
+        "the entry of term 2 did not reach the third member"
+    )
+    # Long enough for the reply to arrive, but not for the next entry.
     group.isolate(third)
     group.run(0.05)
     for name in (first, second):
@@ -207,21 +209,21 @@
 
 
 SCHEDULES = {
-    "a follower is cut off and back five times": isolate_follower_repeatedly,
-    "a follower cannot reach the leader only": cut_leader_follower_link,
-    "a voter restarts while the lease runs": restart_voter_during_lease,
-    "all but the lease holder restart": restart_all_but_lease_holder,
-    "a member returns with part of the log": rejoin_with_partial_log,
-    "a second member is lost after a repair": lose_second_disk,
-    "a member crashes between answer and sync": crash_between_reply_and_sync,
+    "a follower is isolated five times": isolate_follower_repeatedly,
+    "one follower loses only its link to the leader": cut_leader_follower_link,
+    "a voter restarts while the lease holds": restart_voter_during_lease,
+    "all voters but the lease holder restart": restart_all_but_lease_holder,
+    "a member rejoins with part of the log": rejoin_with_partial_log,
+    "a second disk is lost after a repair": lose_second_disk,
+    "a member crashes between reply and sync": crash_between_reply_and_sync,
     "an entry of an old term reaches a majority": replicate_old_term_entry,
 }
 
 
 OUTCOMES = {
     "one replica led": lambda o: set(o) == {"1 terms, led: True"},
-    "the leader was deposed": lambda o: not any(x[:2] == "1 " for x in o),
-    "no promise is broken": lambda o: all("terms" in x for x in o),
+    "the leader was replaced": lambda o: not any(x[:2] == "1 " for x in o),
+    "no invariant is violated": lambda o: all("terms" in x for x in o),
     "two leader leases": lambda o: any("two leader leases" in x for x in o),
     "a committed entry is lost": lambda o: all("lacks" in x for x in o),
     "a leader is elected": lambda o: all("led: True" in x for x in o),
@@ -230,7 +232,7 @@
 
 
 def run_schedule(name: str, variant: dict, runs: int = 5) -> list[str]:
-    """Runs a schedule with some seeds; returns how each run ended."""
+    """Runs a schedule with several seeds; returns the outcome of each run."""
     schedule, outcomes = SCHEDULES[name], []
     for seed in range(runs):
         members = "abcde" if schedule is replicate_old_term_entry else "abc"
@@ -269,21 +271,21 @@
         case 8:
             group.cut.add(tuple(rng.sample(list(group.nodes), 2)))
         case 9:
-            # The design covers one lost disk at a time; that of a member
-            # which does not count yet may be lost again.
+            # The design tolerates one lost disk at a time. A member that is
+            # not a voter yet may lose its disk again.
             if group.repaired() or not group.counts(name):
                 group.lose_disk(name)
 
 
 def random_schedule(seed: int, seconds: float = 4.0, **variant) -> CheckedGroup:
-    """Runs one group under random faults, then checks that it recovers."""
+    """Runs a group with random faults and checks that it recovers."""
     rng = random.Random(seed)
     group = CheckedGroup(seed=seed, **variant)
     group.loss = rng.choice((0.0, 0.05, 0.3))
     group.duplication = rng.choice((0.0, 0.1))
     group.delay = (0.001, rng.choice((0.005, 0.05, 0.4)))
     group.compact_each = rng.choice((0, 3, 12))
-    # Only in an idle group can a member that was cut off still win votes.
+    # Only in an idle group can a reconnected member still win votes.
     rate = rng.choice((0.0, 0.02, 0.25))
     pause_s = rng.choice((0.2, 0.6, 1.5))
     try:
@@ -304,7 +306,7 @@
 def propose_randomly(
     group: CheckedGroup, rng: random.Random, rate: float
 ) -> None:
-    """Proposes at any member that says it leads, current or not."""
+    """Proposes at random at each presumed leader, deposed ones included."""
     for node in group.running():
         if node.replica.leader_since is not None and rng.random() < rate:
             node.replica.propose(
@@ -314,7 +316,7 @@
 
 
 def recover(group: CheckedGroup) -> None:
-    """Ends all faults and waits until a new entry is applied everywhere."""
+    """Ends all faults; waits until every member has applied a new entry."""
     group.heal()
     group.loss, group.delay = 0.0, (0.001, 0.005)
     group.start_all()
--- a/features/steps/replication_steps.py
+++ b/features/steps/replication_steps.py
@@ -42,7 +42,7 @@
 )
 def restart_all_but_leader(context, spread):
     context.leader, *others = context.group.elected()
-    # It goes on by its lease, and nobody hears it any more.
+    # The isolated leader continues to rely on its lease.
     context.group.isolate(context.leader)
     restart(context, others, spread)
 
@@ -72,7 +72,7 @@
         assert holder is None or holder.name == context.leader, holder.name
 
 
-@given("3 replicas that compact each {count:d} log entries")
+@given("3 replicas that compact every {count:d} log entries")
 def compacting_replicas(context, count):
     context.group = CheckedGroup(seed=1)
     context.group.compact_each = count
@@ -80,8 +80,8 @@
 
 
 @given(
-    "{loss:d}% of the replicas' messages are lost and {duplicated:d}% come"
-    " twice"
+    "{loss:d}% of the replicas' messages are lost and {duplicated:d}% are"
+    " duplicated"
 )
 def set_message_loss(context, loss, duplicated):
     context.group.measures = True
@@ -143,7 +143,7 @@
             group.crash(name)
             node.disk = disk
             group.start(name)
-        case "hands over":
+        case "transfers its leadership":
             assert group.transfer_leadership(name)
         case "removes itself from the list":
             members = node.replica.members
@@ -200,7 +200,7 @@
 
 
 @then(
-    "all {count:d} replicas are voters under their present identities"
+    "all {count:d} replicas are voters under their current identities"
     " within {limit:f} s"
 )
 def all_voters(context, count, limit):
@@ -289,19 +289,19 @@
     context.variant = VARIANTS[variant]
 
 
-@when("the replicas meet this: {schedule}")
+@when("the replicas run the fault schedule: {schedule}")
 def run_faults(context, schedule):
     context.outcomes = run_schedule(schedule, context.variant)
 
 
-@then("the replicas end with this: {result}")
+@then("the outcome of the schedule is: {result}")
 def check_outcomes(context, result):
     assert OUTCOMES[result](context.outcomes), context.outcomes
 
 
 @then(
-    "{count:d} seeded fault schedules break no promise within {limit:d} s of"
-    " CPU time"
+    "{count:d} seeded fault schedules violate no invariant within {limit:d} s"
+    " of CPU time"
 )
 def random_schedules(context, count, limit):
     start = time.process_time()
--- a/knapweedarch/replica.py
+++ b/knapweedarch/replica.py
@@ -1,9 +1,9 @@
 """Replicated log: elections, replication, membership, snapshots.
 
-The algorithm is Raft with pre-vote, leader lease, learners and one membership
-change at a time. Nothing here does input or output: the driver passes
-messages and the time, saves what `Replica.take_output` returns with one sync,
-and only then sends the messages and applies the committed entries.
+The algorithm is Raft with pre-vote, leader leases, learners and single-server
+membership changes. The module performs no I/O: the driver passes in messages
+and the current time, persists the result of `Replica.take_output` with one
+sync, and only then sends the messages and applies the committed entries.
 """
 
 from knapweedarch.exceptions import (
@@ -70,12 +70,12 @@
 
 
 class Replica(ReplicaStatus):
-    """One member's part in the replicated log."""
+    """State machine of one member of the replicated log."""
 
-    # What the driver calls.
+    # Driver interface.
 
     def tick(self, now: float) -> None:
-        """Lets time pass; called at least each 50 ms."""
+        """Advances the clock; must be called at least every 50 ms."""
         self._advance(now)
         if self._leadership is not None:
             self._tick_leader(now)
@@ -83,7 +83,7 @@
             self._start_pre_vote(now)
 
     def receive(self, sender: str, message: Message, now: float) -> None:
-        """Takes a message of the member named `sender`."""
+        """Handles a message from the member named `sender`."""
         self._advance(now)
         match message:
             case VoteRequest():
@@ -104,36 +104,37 @@
     def propose(self, data: bytes, now: float) -> int:
         """Appends an entry; returns its index.
 
-        The entry is committed if `Output.committed` holds this index with the
-        term that the replica had at the call.
+        The entry is committed once `Output.committed` contains an entry with
+        this index and the replica's term at the time of the call.
 
         Raises:
-            NotLeaderError: This replica does not lead.
-            ReplicaError: The entry is too large or too many are open.
+            NotLeaderError: This replica is not the leader.
+            ReplicaError: The entry is too large, or too many entries are
+                uncommitted.
         """
         self._advance(now)
         if self._leadership is None:
             raise NotLeaderError(self.leader)
         if len(data) > MAX_ENTRY_BYTES:
-            raise ReplicaError(f"an entry of {len(data)} bytes is too large")
+            raise ReplicaError(f"entry of {len(data)} bytes is too large")
         if (
             self._log.last_index - self._log.commit_index
             >= MAX_UNCOMMITTED_ENTRIES
             or self._log.uncommitted_bytes + len(data) > MAX_UNCOMMITTED_BYTES
         ):
-            raise ReplicaError("too many entries are not committed yet")
+            raise ReplicaError("too many uncommitted entries")
         return self._append_own(EntryKind.DATA, data)
 
     def propose_members(self, members: tuple[Member, ...], now: float) -> int:
         """Appends a member list; returns the index of its entry.
 
-        A new member is given as a learner; the leader makes it a voter once
-        it holds every committed entry.
+        New members must be added as learners; the leader promotes a learner
+        to voter once it holds every committed entry.
 
         Raises:
-            NotLeaderError: This replica does not lead.
+            NotLeaderError: This replica is not the leader.
             MembershipError: More than one voter differs, a new voter is not a
-                learner that caught up, or another change is under way.
+                caught-up learner, or another change is in progress.
         """
         self._advance(now)
         leadership = self._leadership
@@ -143,19 +144,21 @@
             self._log.commit_index < leadership.first_index
             or self.members_pending
         ):
-            raise MembershipError("another change is not committed yet")
+            raise MembershipError("another membership change is uncommitted")
         check_change(self.members, members, self._caught_up)
         index = self._append_own(EntryKind.MEMBERS, encode_members(members))
         leadership.update_members()
         return index
 
     def transfer_leadership(self, now: float) -> bool:
-        """Gives up the office to a voter that holds the whole log.
+        """Transfers leadership to a voter that holds the whole log.
 
-        Before a planned stop this spares the others the election timeout.
+        Called before a planned shutdown, so that the other members need not
+        wait for the election timeout.
 
         Returns:
-            False if no voter holds the whole log yet; call again later.
+            Whether this replica is no longer the leader. If False, no voter
+            holds the whole log yet; call again later.
         """
         self._advance(now)
         if self._leadership is None:
@@ -168,30 +171,30 @@
         return True
 
     def note_peer(self, name: str, identity: str, host: str, port: int) -> None:
-        """Notes the identity that a member told when its link opened.
+        """Records the identity that a member announced on a new link.
 
-        If a member has come back with another identity, it lost its disk: the
+        A member that returns with another identity has lost its disk. The
         leader then adds it as a learner and replaces the old identity.
         """
         self._peer_identities[name] = PeerIdentity(name, identity, host, port)
 
     def compact(self, index: int, snapshot_data: bytes, now: float) -> None:
-        """Replaces the entries up to `index` by the application's state.
+        """Replaces the entries up to `index` with a snapshot.
 
         Raises:
-            ReplicaError: The entry was not handed out as committed, or is
-                older than the last snapshot.
+            ReplicaError: The entry has not been returned as committed, or the
+                last snapshot already covers it.
         """
         self._advance(now)
         old = self._log.snapshot
         if index > self._applied_index or (old and index <= old.index):
-            raise ReplicaError(f"entry {index} cannot be compacted")
+            raise ReplicaError(f"cannot compact the log up to entry {index}")
         self._compacted = self._log.compact(
             index, snapshot_data, self._cfg.kept_entries, MAX_KEPT_ENTRY_BYTES
         )
 
     def take_output(self) -> Output:
-        """Returns what is to be saved, sent and applied, once."""
+        """Returns the pending data to save, send and apply, and clears it."""
         if self._leadership is not None:
             self._commit()
             self._messages += self._leadership.requests(self._now)
@@ -217,12 +220,13 @@
         self._messages = []
         return output
 
-    # Time and terms.
+    # Clock and terms.
 
     def _advance(self, now: float) -> None:
         if self._now is None:
-            # Before a restart this member may have told a leader that it
-            # hears it, so it waits as long as that promise lasts.
+            # Before the restart this member may have acknowledged a leader
+            # whose lease still holds, so it grants no votes until that lease
+            # must have expired.
             self._election.start_restart_wait(now)
         self._now = now
 
@@ -234,7 +238,7 @@
         self, term: int, leader: str | None, now: float
     ) -> None:
         if self._leadership is not None:
-            # The own lease may still run.
+            # This replica's own leader lease may not have expired yet.
             self._election.record_leader_contact(now)
             self._leadership = self.leader_since = self.leader = None
         if term > self.term:
@@ -255,7 +259,7 @@
         return self.identity in self._voters()
 
     def _start_pre_vote(self, now: float) -> None:
-        """Asks whether an election could be won, without changing a term."""
+        """Starts a pre-vote, which changes no terms."""
         self.role = Role.PRE_CANDIDATE
         self._request_votes(now)
 
@@ -296,7 +300,7 @@
         if not vote.pre:
             self._become_leader(now)
         elif self.role is Role.PRE_CANDIDATE and not (
-            # Its own silence may still be promised to a leader.
+            # A leader lease may still rely on this replica casting no vote.
             self._election.has_recent_leader(now)
         ):
             self._start_election(now)
@@ -306,8 +310,8 @@
     ) -> None:
         if self.blank:
             return
-        # The leader that this voter heard claims no lease any more, or this
-        # voter has promised nothing since all of them restarted.
+        # Either the last known leader has given up its lease, or all voters
+        # have restarted and no process can hold one.
         lease_waived = self._leadership is None and (
             request.handed_over
             or (request.all_restarted and self._election.just_restarted)
@@ -335,9 +339,9 @@
                 self._send(sender, counter_request)
 
     def _defer_to(self, identity: str, now: float) -> None:
-        """Leaves the election to one of two that ask at the same time.
+        """Defers to a concurrent pre-candidate with a higher identity.
 
-        Both could win a pre-vote, and then the votes would be split.
+        Otherwise both could win their pre-votes and split the vote.
         """
         if identity > self.identity:
             self.role = Role.FOLLOWER
@@ -359,7 +363,7 @@
             return
         self._count_vote(reply, now)
 
-    # Leading.
+    # Leader.
 
     def _become_leader(self, now: float) -> None:
         self.role = Role.LEADER
@@ -393,7 +397,7 @@
             self._become_follower(self.term, None, now)
 
     def _change_members(self, now: float) -> None:
-        """Proposes the next step that replaces a lost identity, if any."""
+        """Proposes the next automatic membership change, if any."""
         leadership = self._leadership
         if (
             self._log.commit_index < leadership.first_index
@@ -412,10 +416,10 @@
             self.propose_members(members, now)
 
     def _silence(self, identity: str, now: float) -> float:
-        """Returns for how many seconds a member has not answered."""
+        """Returns the seconds since a member last answered."""
         leadership = self._leadership
         peer = leadership.peer(identity)
-        # The leader itself is no peer, and never silent to itself.
+        # The leader has no entry for itself among its peers.
         return (
             now - max(peer.last_contact, leadership.started_at) if peer else 0.0
         )
@@ -441,7 +445,7 @@
             self._become_follower(term, None, now)
         return self._leadership is None or term != self.term
 
-    # Following.
+    # Follower.
 
     def _accept_leader(
         self, sender: str, request: AppendRequest | SnapshotPart, now: float
@@ -456,7 +460,7 @@
         self, sender: str, request: AppendRequest, now: float
     ) -> None:
         if request.receiver != self.identity:
-            # The leader means the identity that this name had before.
+            # The request is for the identity that previously had this name.
             return
         accepted, index = False, 0
         if self._accept_leader(sender, request, now):
@@ -492,5 +496,5 @@
 def create_replica(
     cfg: ReplicaConfig, restored: Restored, seed: int
 ) -> Replica:
-    """Creates a replica from what its journal holds."""
+    """Creates a replica from the contents of its journal."""
     return Replica(cfg, restored, seed)
--- a/knapweedarch/replica_election.py
+++ b/knapweedarch/replica_election.py
@@ -6,18 +6,19 @@
 from knapweedarch.replica_log import ReplicaLog
 from knapweedarch.replica_messages import HardState, VoteReply, VoteRequest
 
-# A pre-vote changes nothing at the voters, and a refused one is usually only
-# too early, so it is repeated soon. A vote waits for a sync at each voter.
+# A pre-vote changes no state of the voters, and a rejected one was usually just
+# too early, so it is retried soon. A vote waits for a sync at each voter.
 PRE_VOTE_RETRY_S = (0.1, 0.3)
 VOTE_RETRY_S = (0.3, 0.6)
 
 
 class Election:
-    """What a replica knows of terms and votes.
+    """Term, vote and election timer of one replica.
 
     Attributes:
         hard_state: Term and vote.
-        just_restarted: Whether no leader was heard since the process started.
+        just_restarted: Whether the process has not heard from a leader since
+            it started.
     """
 
     def __init__(self, identity: str, hard_state: HardState, seed: int):
@@ -37,39 +38,39 @@
         return self.hard_state.term
 
     def start_restart_wait(self, now: float) -> None:
-        """Waits as long as a promise of the process before may last.
+        """Refuses votes while a lease from before the restart may still hold.
 
-        It asks the others at once all the same: when every voter has
-        restarted, there is no promise to wait for.
+        The pre-vote starts at once all the same: if every voter has
+        restarted, no process holds a lease and there is nothing to wait for.
         """
         self.record_leader_contact(now)
         self.just_restarted = True
         self._due_at = now
 
     def record_leader_contact(self, now: float) -> None:
-        """Starts the time in which this replica votes for nobody."""
+        """Restarts the period in which this replica grants no votes."""
         self.just_restarted = False
         self._votes = {True: set(), False: set()}
         self._refuse_votes_until = now + MIN_ELECTION_S
         self._restart_timer(now, MIN_ELECTION_S, MAX_ELECTION_S)
 
     def has_recent_leader(self, now: float) -> bool:
-        """Tells whether a leader may count on this replica's silence."""
+        """Returns whether a leader's lease may rely on this replica."""
         return now < self._refuse_votes_until
 
     def _restart_timer(self, now: float, low_s: float, high_s: float) -> None:
         self._due_at = now + self._random.uniform(low_s, high_s)
 
     def retry_later(self, now: float) -> None:
-        """Gives another candidate the time to be elected."""
+        """Delays the next attempt so that another candidate can be elected."""
         self._restart_timer(now, *VOTE_RETRY_S)
 
     def timer_expired(self, now: float) -> bool:
-        """Tells whether it is time to seek office."""
+        """Returns whether the election timer has expired."""
         return now >= self._due_at
 
     def enter_term(self, term: int) -> None:
-        """Enters a newer term without a vote."""
+        """Enters a newer term without having voted in it."""
         self.hard_state = HardState(term)
         self._votes = {True: set(), False: set()}
 
@@ -81,10 +82,10 @@
         handed_over: bool = False,
         all_restarted: bool = False,
     ) -> VoteRequest:
-        """Begins a round of votes, or of pre-votes; returns the request.
+        """Starts a vote or pre-vote round; returns the request.
 
-        A new round of pre-votes in the same term keeps what was counted: an
-        answer may take longer than a round.
+        A new pre-vote round in the same term keeps the votes already counted,
+        since a reply may take longer than a round.
         """
         self._restart_timer(now, *(PRE_VOTE_RETRY_S if pre else VOTE_RETRY_S))
         if not pre:
@@ -112,11 +113,12 @@
     def counter_request(
         self, request: VoteRequest, log: ReplicaLog, now: float
     ) -> VoteRequest | None:
-        """Returns what to ask a voter that has just asked, if anything.
+        """Returns a pre-vote request to send back to a candidate, if any.
 
-        A voter that starts last is thereby known to the best candidate at
-        once. The better of two asks, so they do not ask each other for ever.
-        After the wait nobody needs to know who has restarted.
+        It lets the best candidate learn at once of the voter that restarted
+        last. Only the better candidate of two sends one, so that they do not
+        send requests back and forth for ever. After the restart wait nobody
+        needs to know which voters have restarted.
         """
         if not (
             self.just_restarted and request.pre and self.has_recent_leader(now)
@@ -128,7 +130,7 @@
         return own if own.rank > request.rank else None
 
     def defers_to(self, request: VoteRequest, log: ReplicaLog) -> bool:
-        """Tells whether a restarted voter leaves the office to a candidate."""
+        """Returns whether a restarted voter ranks a candidate above itself."""
         if not (
             self.just_restarted and request.pre and request.term > self.term
         ):
@@ -136,15 +138,16 @@
         return request.rank > self._request(log, pre=True).rank
 
     def all_restarted(self, identity: str, voters: set[str]) -> bool:
-        """Notes a restarted voter; tells whether all others are."""
+        """Records a restarted voter; returns whether all voters restarted."""
         self._restarted_voters.add(identity)
         others = voters - {self._identity}
         return self.just_restarted and others <= self._restarted_voters
 
     def grant(self, request: VoteRequest, log: ReplicaLog, now: float) -> bool:
-        """Decides on a request of the current term or on a pre-vote.
+        """Decides on a pre-vote or on a vote in the current term.
 
-        A candidate that lacks entries which may be committed gets no vote.
+        A candidate whose log is behind this one gets no vote, because it may
+        lack committed entries.
         """
         newest = (request.last_term, request.last_index)
         if newest < (log.last_term, log.last_index):
@@ -160,7 +163,7 @@
         return True
 
     def count_vote(self, reply: VoteReply, voters: set[str]) -> bool:
-        """Counts a granted vote; tells whether a majority is reached."""
+        """Counts a granted vote; returns whether there is a majority."""
         if reply.term != self.term + reply.pre:
             return False
         if not reply.pre and self.hard_state.voted_for != self._identity:
--- a/knapweedarch/replica_follower.py
+++ b/knapweedarch/replica_follower.py
@@ -1,4 +1,4 @@
-"""What a replica does with entries and snapshots of its leader."""
+"""Handling of entries and snapshots that a replica receives."""
 
 from knapweedarch.replica_log import ReplicaLog
 from knapweedarch.replica_messages import (
@@ -9,10 +9,11 @@
 
 
 class Follower:
-    """Takes what the leader of the current term sends.
+    """Applies entries and snapshots from the current term's leader to the log.
 
     Attributes:
-        installed: Snapshot that replaced the log and was not handed out yet.
+        installed: Snapshot that replaced the log and has not been returned by
+            `take_installed` yet.
     """
 
     def __init__(self, log: ReplicaLog):
@@ -22,11 +23,11 @@
         self._buffer = bytearray()
 
     def append_entries(self, request: AppendRequest) -> tuple[bool, int]:
-        """Takes entries.
+        """Appends entries to the log if it matches the leader's.
 
         Returns:
-            Whether the log now matches the request, and up to which index;
-            else the index from which the leader should try again.
+            True and the last matching index, or False and the index from
+            which the leader should retry.
         """
         previous = request.previous_index
         if previous > self._log.last_index:
@@ -42,10 +43,11 @@
         return True, last
 
     def receive_part(self, part: SnapshotPart) -> tuple[bool, int]:
-        """Takes a part of a snapshot.
+        """Buffers a part of a snapshot and installs a complete snapshot.
 
         Returns:
-            Whether the log now covers the snapshot, and the next byte needed.
+            Whether the log now covers the snapshot, and the offset of the next
+            byte needed.
         """
         if self._is_covered(part):
             self._log.commit(part.index)
@@ -67,8 +69,8 @@
         )
 
     def _buffer_part(self, part: SnapshotPart) -> None:
-        # Two leaders may encode the same state differently, so parts of two
-        # terms are never joined.
+        # Two leaders may encode the same state differently, so parts from
+        # different terms are never combined.
         snapshot = (part.identity, part.term, part.index)
         if self._buffered_snapshot != snapshot:
             self._buffered_snapshot, self._buffer = snapshot, bytearray()
@@ -77,6 +79,6 @@
             self._buffer += part.data
 
     def take_installed(self) -> Snapshot | None:
-        """Returns the snapshot that replaced the log, once."""
+        """Returns the last installed snapshot and clears it."""
         installed, self.installed = self.installed, None
         return installed
--- a/knapweedarch/replica_leadership.py
+++ b/knapweedarch/replica_leadership.py
@@ -1,4 +1,4 @@
-"""What a replica holds only while it leads: peers, lease, promotions."""
+"""Leader state of a replica: replication progress and the leader lease."""
 
 import math
 from collections.abc import Callable, Iterator
@@ -19,34 +19,35 @@
 HEARTBEAT_S = 0.1
 MIN_ELECTION_S = 0.6
 MAX_ELECTION_S = 1.2
-# A voter refuses votes for `MIN_ELECTION_S` after it heard the leader. The
-# leader counts 0.9 of that, which covers clocks that drift 5% apart.
+# A voter refuses votes for `MIN_ELECTION_S` after it heard from the leader. The
+# lease is 0.9 of that, which tolerates clocks whose rates differ by 5%.
 LEADER_LEASE_S = MIN_ELECTION_S * 0.9
 MAX_BATCH_BYTES = 1024 * 1024
 SNAPSHOT_PART_BYTES = 1024 * 1024
 MAX_BATCHES_IN_FLIGHT = 8
 PART_RESEND_S = 0.5
 
-# Receiver names and messages.
+# Pairs of receiver name and message.
 Requests = Iterator[tuple[str, Message]]
 
 
 @attrs.define
 class Peer:
-    """What the leader knows of another member.
+    """Replication progress of another member.
 
     Attributes:
         member: The member.
         next_index: First entry to send.
         match_index: Last entry known to be in its synced log.
-        probing: Whether the place where the logs agree is still searched.
-        probe_sent: Whether a probe is under way since the last heartbeat.
-        in_flight: Batches sent and not answered.
-        matched_at: When `match_index` last grew.
+        matched_at: When `match_index` last increased.
+        probing: Whether the last matching index is still unknown.
+        probe_sent: Whether a probe has been sent since the last heartbeat.
+        in_flight: Number of unacknowledged batches.
         last_contact: Send time of the newest request that it answered.
         heartbeat_due: Whether a heartbeat must be sent.
-        snapshot: Snapshot that is being sent; it stays the same until it is
-            installed, else frequent compaction would restart it for ever.
+        snapshot: Snapshot being sent. It is not replaced until it is
+            installed; otherwise frequent compaction would restart the
+            transfer for ever.
         offset: Next byte of the snapshot to send.
         part_sent_at: When the current part was sent.
     """
@@ -66,11 +67,11 @@
 
 
 class Leadership:
-    """Leader's side of one term.
+    """Leader state for one term.
 
     Attributes:
         term: Term of the leader.
-        started_at: When the replica took office.
+        started_at: When the replica became leader.
         first_index: Index of the first entry of the term.
     """
 
@@ -85,7 +86,7 @@
         self.update_members()
 
     def update_members(self) -> None:
-        """Follows the newest member list."""
+        """Updates the peers to the newest member list."""
         others = [m for m in self._log.members if m.identity != self._identity]
         known = self._peers
         self._peers = {
@@ -97,7 +98,7 @@
             self._peers[member.identity].member = member
 
     def peer(self, identity: str) -> Peer | None:
-        """Returns what is known of a member."""
+        """Returns the replication progress of a member."""
         return self._peers.get(identity)
 
     def _quorum_value(self, own: float, value: Callable[[str], float]) -> float:
@@ -113,15 +114,15 @@
         return values[len(values) // 2] if values else -math.inf
 
     def quorum_last_contact(self, now: float) -> float:
-        """Returns the send time of the newest round a majority answered."""
+        """Returns the newest send time that a majority has answered."""
         return self._quorum_value(now, lambda i: self._peers[i].last_contact)
 
     def lease_end(self, now: float) -> float:
-        """Returns until when no other replica can be elected."""
+        """Returns the time until which no other replica can be elected."""
         return self.quorum_last_contact(now) + LEADER_LEASE_S
 
     def transfer_target(self) -> str | None:
-        """Returns the voter that holds the whole log and answered last."""
+        """Returns the most recently heard voter that holds the whole log."""
         eligible = [
             peer
             for peer in self._peers.values()
@@ -132,15 +133,15 @@
         return max(eligible, key=lambda peer: peer.last_contact).member.name
 
     def quorum_lost(self, now: float) -> bool:
-        """Tells whether no majority answered for too long."""
+        """Returns whether no majority has answered within the limit."""
         last_contact = max(self.quorum_last_contact(now), self.started_at)
         return now - last_contact >= MAX_ELECTION_S
 
     def committable_index(self) -> int:
         """Returns the last index that a majority of voters has synced.
 
-        Entries of an earlier term are never committed by counting: a majority
-        may hold one and a later leader may still replace it.
+        Entries of earlier terms are never committed by counting replicas: a
+        later leader may still replace an entry that a majority holds.
         """
         index = self._quorum_value(
             self._log.last_index, lambda i: self._peers[i].match_index
@@ -150,7 +151,7 @@
         return index
 
     def tick(self, now: float) -> None:
-        """Marks heartbeats that are due."""
+        """Marks due heartbeats."""
         if now < self._heartbeat_at:
             return
         self._heartbeat_at = now + HEARTBEAT_S
@@ -159,7 +160,7 @@
             peer.probe_sent = False
 
     def requests(self, now: float) -> Requests:
-        """Yields what must be sent to the other members."""
+        """Yields the pending requests to the other members."""
         for peer in self._peers.values():
             if self._log.term_at(peer.next_index - 1) is None:
                 yield from self._snapshot_requests(peer, now)
@@ -207,8 +208,8 @@
 
     def _snapshot_requests(self, peer: Peer, now: float) -> Requests:
         if peer.heartbeat_due:
-            # The receiver lacks these entries and refuses, but it learns that
-            # the leader is alive.
+            # The receiver rejects this request because it lacks the previous
+            # entry, but it still serves as a heartbeat.
             yield self._append_request(
                 peer, now, self._log.last_index + 1, False
             )
@@ -237,7 +238,7 @@
         )
 
     def handle_append_reply(self, reply: AppendReply, now: float) -> None:
-        """Notes the answer to an append request."""
+        """Updates a peer after a reply to an append request."""
         peer = self._peers.get(reply.identity)
         if peer is None:
             return
@@ -250,8 +251,8 @@
             return
         if reply.index <= peer.match_index:
             if reply.sent_at <= peer.matched_at:
-                return  # Overtaken by a newer answer.
-            # Its disk lost entries that it had acknowledged.
+                return  # Stale reply: a newer one was handled first.
+            # The member's disk lost entries that it had acknowledged.
             peer.match_index = reply.index - 1
         peer.next_index = min(reply.index, self._log.last_index + 1)
         peer.probing, peer.probe_sent, peer.in_flight = True, False, 0
@@ -263,7 +264,7 @@
         peer.next_index = max(peer.next_index, peer.match_index + 1)
 
     def handle_snapshot_reply(self, reply: SnapshotReply, now: float) -> None:
-        """Notes the answer to a part of a snapshot."""
+        """Updates a peer after a reply to a part of a snapshot."""
         peer = self._peers.get(reply.identity)
         if peer is None:
             return
--- a/knapweedarch/replica_log.py
+++ b/knapweedarch/replica_log.py
@@ -1,4 +1,4 @@
-"""Log of a replica in memory, with its member lists."""
+"""In-memory log of a replica, with its member lists."""
 
 from collections.abc import Sequence
 
@@ -14,10 +14,10 @@
 
 
 class ReplicaLog:
-    """Entries after a base, the newest snapshot and what is not yet saved.
+    """Entries after a base index, the newest snapshot and unsaved changes.
 
     Attributes:
-        snapshot: Newest snapshot if any.
+        snapshot: Newest snapshot, if any.
         commit_index: Last entry known to be committed.
         bytes_since_snapshot: Size of the data of entries after the snapshot.
         uncommitted_bytes: Size of the data of entries not yet committed.
@@ -45,7 +45,7 @@
 
     @property
     def first_index(self) -> int:
-        """Index of the first entry held."""
+        """Index of the first entry in memory."""
         return self._base_index + 1
 
     @property
@@ -69,7 +69,7 @@
         return self._member_lists[-1][0]
 
     def term_at(self, index: int) -> int | None:
-        """Returns the term of an entry, or None if it is not held."""
+        """Returns the term of an entry, or None if it is not in memory."""
         if index == self._base_index:
             return self._base_term
         if self._base_index < index <= self.last_index:
@@ -77,7 +77,7 @@
         return None
 
     def between(self, first: int, last: int) -> tuple[Entry, ...]:
-        """Returns the entries from `first` to `last`, both included."""
+        """Returns the entries from `first` to `last`, inclusive."""
         start = max(first - self._base_index - 1, 0)
         return tuple(self._entries[start : last - self._base_index])
 
@@ -86,7 +86,7 @@
         return self.between(snapshot.index + 1, self.last_index)
 
     def batch(self, first: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Returns entries from `first` on, at least one, up to a size."""
+        """Returns entries from `first` up to `max_bytes`, but at least one."""
         size, index = 0, first
         while index <= self.last_index:
             size += len(self._entries[index - self._base_index - 1].data)
@@ -110,15 +110,15 @@
                 )
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Appends entries that follow the last one."""
+        """Appends entries whose indexes continue the log."""
         self._add(entries)
 
     def merge(self, entries: Sequence[Entry]) -> None:
-        """Takes entries of a leader; a conflicting suffix is dropped.
+        """Adds entries from a leader; truncates a conflicting suffix.
 
         Raises:
-            ReplicaError: The entries contradict a committed one, which means
-                that the journals do not belong to the same group.
+            ReplicaError: An entry conflicts with a committed one, so the
+                journals do not belong to the same group.
         """
         for position, entry in enumerate(entries):
             held_term = self.term_at(entry.index)
@@ -132,15 +132,15 @@
             return
 
     def commit(self, index: int) -> None:
-        """Notes that the entries up to `index` are committed."""
+        """Marks the entries up to `index` as committed."""
         newly_committed = self.between(self.commit_index + 1, index)
         self.uncommitted_bytes -= sum(len(e.data) for e in newly_committed)
         self.commit_index = max(self.commit_index, index)
 
     def truncate(self, index: int) -> None:
-        """Drops the entries from `index` on."""
+        """Removes the entries from `index` on."""
         if index <= self.commit_index:
-            raise ReplicaError(f"committed entry {index} would be replaced")
+            raise ReplicaError(f"cannot replace committed entry {index}")
         dropped = self._entries[index - self._base_index - 1 :]
         del self._entries[index - self._base_index - 1 :]
         size = sum(len(e.data) for e in dropped)
@@ -160,7 +160,7 @@
         return index
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replaces the whole log by a snapshot."""
+        """Replaces the whole log with a snapshot."""
         self.snapshot = snapshot
         self._reset_to_snapshot(snapshot)
         self.commit_index = self._saved_index = snapshot.index
@@ -170,14 +170,14 @@
     def compact(
         self, index: int, data: bytes, keep_entries: int, keep_bytes: int
     ) -> Snapshot:
-        """Makes a snapshot and drops all but the last entries before it.
+        """Creates a snapshot and removes all but the last entries before it.
 
         Raises:
-            ReplicaError: The entry is not committed or no longer held.
+            ReplicaError: The entry is uncommitted or no longer in memory.
         """
         term = self.term_at(index)
         if term is None or index > self.commit_index:
-            raise ReplicaError(f"entry {index} cannot be compacted")
+            raise ReplicaError(f"cannot compact the log up to entry {index}")
         lists = [m for m in self._member_lists if m[0] <= index]
         self.snapshot = Snapshot(index, term, lists[-1][1], data)
         self._member_lists = self._member_lists[len(lists) - 1 :]
@@ -196,7 +196,7 @@
         return self.snapshot
 
     def take_unsaved(self) -> tuple[int | None, tuple[Entry, ...]]:
-        """Returns what the journal must drop and append, once."""
+        """Returns the unsaved truncation and entries, and clears them."""
         truncate_from, self._truncate_from = self._truncate_from, None
         entries = self.between(self._saved_index + 1, self.last_index)
         self._saved_index = self.last_index
--- a/knapweedarch/replica_membership.py
+++ b/knapweedarch/replica_membership.py
@@ -1,4 +1,4 @@
-"""Rules of membership changes and the replacement of lost identities."""
+"""Membership change rules and the replacement of lost identities."""
 
 from collections.abc import Callable, Mapping
 
@@ -7,10 +7,10 @@
 from knapweedarch.exceptions import MembershipError
 from knapweedarch.replica_messages import Member
 
-# A voter that answered this recently is alive: another process under its name
-# is then a fault of the settings and must not take its place.
+# A voter that has answered within this time is alive. Another process with its
+# name is then a configuration error and must not replace it.
 REPLACE_SILENCE_S = 2.0
-# A learner that is silent for this long will not come back.
+# A learner that has not answered for this long is presumed lost.
 LEARNER_SILENCE_S = 15.0
 MAX_MEMBERS = 16
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class PeerIdentity:
-    """Identity and address that a member told when its link opened."""
+    """Identity and address that a member announced on a new link."""
 
     name: str
     identity: str
@@ -32,7 +32,7 @@
     new: Members,
     caught_up: Callable[[str], bool],
 ) -> None:
-    """Checks that one voter differs at most, so that majorities overlap.
+    """Checks that at most one voter differs, so that majorities overlap.
 
     Raises:
         MembershipError: The change is not allowed.
@@ -40,19 +40,21 @@
     before = {m.identity for m in old if m.voter}
     after = {m.identity for m in new if m.voter}
     if not after:
-        raise MembershipError("a group needs a voter")
+        raise MembershipError("the member list has no voters")
     if len({m.identity for m in new}) < len(new):
-        raise MembershipError("an identity is listed twice")
+        raise MembershipError("the member list contains an identity twice")
     voter_names = [m.name for m in new if m.voter]
     if len(set(voter_names)) < len(voter_names):
-        raise MembershipError("two voters have the same name")
+        raise MembershipError(
+            "the member list has two voters with the same name"
+        )
     if len(before ^ after) > 1:
-        raise MembershipError("more than one voter differs")
+        raise MembershipError("the change adds or removes more than one voter")
     learners = {m.identity for m in old if not m.voter}
     for identity in after - before:
         if identity not in learners or not caught_up(identity):
             raise MembershipError(
-                f"{identity} is not a learner with all committed entries"
+                f"new voter {identity} is not a caught-up learner"
             )
 
 
@@ -64,16 +66,16 @@
     silence: Callable[[str], float],
     voters: int = 0,
 ) -> Members | None:
-    """Returns the next member list on the way to a complete group.
+    """Returns the next member list towards a complete group, if any.
 
     Args:
         members: Current list.
-        announced: Newest identity told under each name.
+        announced: Newest announced identity of each name.
         own_identity: Identity of the leader.
-        caught_up: Whether an identity holds every committed entry.
-        silence: Seconds since an identity answered the leader.
-        voters: Voters that the group should have; members that ask to join
-            are taken in if it is not 0.
+        caught_up: Returns whether an identity holds every committed entry.
+        silence: Returns the seconds since an identity answered the leader.
+        voters: Target number of voters; if 0, members that ask to join are
+            not admitted.
     """
     for member in members:
         if member.identity == own_identity:
@@ -96,14 +98,14 @@
 
 
 def _is_joining(members: Members, learner: Member) -> bool:
-    """Tells whether a learner takes no listed voter's place by its name."""
+    """Returns whether a learner does not replace a voter of its name."""
     return not any(m.name == learner.name and m.voter for m in members)
 
 
 def _add_joining_learner(
     members: Members, announced: Mapping[str, PeerIdentity]
 ) -> Members | None:
-    """Adds a member that asked to join under a name that is not listed."""
+    """Adds a learner for an announced name that is not in the list."""
     if len(members) >= MAX_MEMBERS:
         return None
     names = {m.name for m in members}
@@ -121,9 +123,9 @@
     voters: int,
     own_identity: str,
 ) -> Members | None:
-    """Makes a joining learner a voter, in a silent voter's place if full.
+    """Promotes a joining learner; in a full group, removes a silent voter.
 
-    A voter that is only slow to come back joins again as a learner.
+    A removed voter that returns later joins again as a learner.
     """
     others = tuple(m for m in members if m is not learner)
     if peer is not None and peer.identity != learner.identity:
@@ -146,7 +148,7 @@
     peer: PeerIdentity | None,
     silence: Callable[[str], float],
 ) -> Members | None:
-    """Adds a learner for a voter that came back with another identity."""
+    """Adds a learner for a voter that returned with another identity."""
     if (
         peer is None
         or any(m.identity == peer.identity for m in members)
@@ -164,15 +166,15 @@
     peer: PeerIdentity | None,
     caught_up: Callable[[str], bool],
 ) -> Members | None:
-    """Replaces a learner that was lost too, or brings one closer to voting.
+    """Replaces a lost learner, or advances a learner towards voting.
 
-    The lost learner may be the only one left under its name, so its successor
-    takes its place in the same change; learners count in no majority.
+    The lost learner may be the only member left with its name, so the same
+    change adds its successor. This is safe, as learners count in no majority.
     """
     if peer is not None and peer.identity != learner.identity:
         others = tuple(m for m in members if m is not learner)
         if any(m.identity == peer.identity for m in others):
-            # The first disk came back while its voter was still listed.
+            # The original disk returned before its voter was removed.
             return others
         return (*others, Member(*attrs.astuple(peer), voter=False))
     if not caught_up(learner.identity):
--- a/knapweedarch/replica_messages.py
+++ b/knapweedarch/replica_messages.py
@@ -1,4 +1,4 @@
-"""Data classes of the replicated log: entries, messages and outputs."""
+"""Data classes of the replicated log: entries, messages and output."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What an entry of the log carries."""
+    """Content type of a log entry."""
 
     NOOP = 0
     DATA = 1
@@ -16,7 +16,7 @@
 
 
 class Role(enum.Enum):
-    """Part that a replica plays in its term."""
+    """Role of a replica in its term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -30,8 +30,8 @@
 
     Attributes:
         name: Name from the settings; messages are addressed to it.
-        identity: Random text that the journal drew at its first start; votes
-            and acknowledgements are counted by it.
+        identity: Random identifier that the journal generated when it was
+            created; votes and acknowledgements are counted per identity.
         host: IP address.
         port: Port of the member's listener.
         voter: Whether it counts in majorities; a learner does not.
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class Entry:
-    """An entry of the log."""
+    """A log entry."""
 
     index: int
     term: int
@@ -56,11 +56,11 @@
 
 @attrs.frozen
 class HardState:
-    """What a replica must remember besides the log.
+    """Persistent state of a replica besides the log.
 
     Attributes:
-        term: Newest term seen.
-        voted_for: Identity that got the vote of this term; empty if none.
+        term: Newest known term.
+        voted_for: Identity that received the vote in this term; empty if none.
     """
 
     term: int = 0
@@ -69,7 +69,7 @@
 
 @attrs.frozen
 class Snapshot:
-    """State of the application after the entry `index`."""
+    """Application state after the entry `index`."""
 
     index: int
     term: int
@@ -79,12 +79,12 @@
 
 @attrs.frozen
 class Restored:
-    """What a journal holds.
+    """Contents of a journal.
 
     Attributes:
         identity: Identity of the journal.
         hard_state: Term and vote.
-        snapshot: Newest snapshot if any.
+        snapshot: Newest snapshot, if any.
         entries: Entries after the snapshot.
     """
 
@@ -95,24 +95,24 @@
 
     @property
     def blank(self) -> bool:
-        """Whether the journal never held a log."""
+        """Whether the journal has never held an entry."""
         return self.snapshot is None and not self.entries
 
 
 @attrs.frozen
 class VoteRequest:
-    """A candidate asks for a vote.
+    """Request of a candidate for a vote or a pre-vote.
 
     Attributes:
         identity: Identity of the candidate.
-        term: Term in which it would lead.
+        term: Term that it wants to lead.
         last_index: Index of its last entry.
         last_term: Term of its last entry.
-        pre: Whether it only asks if it could win.
-        handed_over: Whether the leader gave up its office, and with it the
-            lease that voters keep by their silence.
-        all_restarted: Whether every voter has restarted since it last heard a
-            leader, so that no process can hold a lease.
+        pre: Whether this is a pre-vote.
+        handed_over: Whether the leader has transferred its leadership and
+            thereby given up its lease, so that voters need not wait for it.
+        all_restarted: Whether every voter has restarted since it last heard
+            from a leader, so that no process can hold a lease.
     """
 
     identity: str
@@ -125,17 +125,17 @@
 
     @property
     def rank(self) -> tuple[int, int, str]:
-        """Order of candidates: the newest log first, then the identity."""
+        """Sort key of candidates: the newest log, then the identity."""
         return self.last_term, self.last_index, self.identity
 
 
 @attrs.frozen
 class HandOver:
-    """A leader that stops asks another voter to take its office at once.
+    """Request of a leader that another voter starts an election at once.
 
     Attributes:
         identity: Identity of the leader.
-        term: Term of the leader, in which it claims no lease any more.
+        term: Term of the leader, which has given up its lease in it.
     """
 
     identity: str
@@ -144,15 +144,15 @@
 
 @attrs.frozen
 class VoteReply:
-    """Answer to a vote request.
+    """Reply to a vote request.
 
     Attributes:
         identity: Identity of the voter.
         term: Term of the request if granted, else the voter's term.
-        granted: Whether the vote is given.
+        granted: Whether the vote is granted.
         pre: Whether the request was a pre-vote.
-        restarted: Whether the voter has heard no leader since its process
-            started, and would not be the better candidate itself.
+        restarted: Whether the voter has not heard from a leader since its
+            process started, and is not the better candidate itself.
     """
 
     identity: str
@@ -164,17 +164,17 @@
 
 @attrs.frozen
 class AppendRequest:
-    """The leader sends entries or a heartbeat.
+    """Entries or a heartbeat from the leader.
 
     Attributes:
         identity: Identity of the leader.
-        receiver: Identity that the leader believes the receiver to have.
+        receiver: Identity of the intended receiver.
         term: Term of the leader.
         previous_index: Index of the entry before the first one sent.
         previous_term: Term of that entry.
         entries: Entries in order.
         commit_index: Commit index of the leader.
-        sent_at: Leader's clock at sending, echoed in the reply.
+        sent_at: Leader's clock at the time of sending, echoed in the reply.
     """
 
     identity: str
@@ -189,14 +189,14 @@
 
 @attrs.frozen
 class AppendReply:
-    """Answer to an append request.
+    """Reply to an append request.
 
     Attributes:
         identity: Identity of the follower.
         term: Term of the follower.
         accepted: Whether the entries are in the follower's synced log.
         index: Last index known to match if accepted, else the index from
-            which the leader should try again.
+            which the leader should retry.
         sent_at: `sent_at` of the request.
     """
 
@@ -209,19 +209,19 @@
 
 @attrs.frozen
 class SnapshotPart:
-    """The leader sends a part of its snapshot.
+    """A part of the leader's snapshot.
 
     Attributes:
         identity: Identity of the leader.
-        receiver: Identity that the leader believes the receiver to have.
+        receiver: Identity of the intended receiver.
         term: Term of the leader.
-        index: Last entry that the snapshot covers.
+        index: Index of the last entry that the snapshot covers.
         index_term: Term of that entry.
         members: Member list after that entry.
-        offset: Place of the part in bytes.
+        offset: Offset of the part in bytes.
         total: Size of the snapshot in bytes.
-        data: The part.
-        sent_at: Leader's clock at sending, echoed in the reply.
+        data: Content of the part.
+        sent_at: Leader's clock at the time of sending, echoed in the reply.
     """
 
     identity: str
@@ -238,13 +238,13 @@
 
 @attrs.frozen
 class SnapshotReply:
-    """Answer to a part of a snapshot.
+    """Reply to a part of a snapshot.
 
     Attributes:
         identity: Identity of the follower.
         term: Term of the follower.
         index: `index` of the part.
-        offset: Next byte that the follower lacks; `total` once installed.
+        offset: Offset of the next byte needed; `total` once installed.
         installed: Whether the follower's synced log covers `index`.
         sent_at: `sent_at` of the part.
     """
@@ -293,27 +293,27 @@
 
 
 def initial_members_entry(members: tuple[Member, ...]) -> Entry:
-    """Builds the first entry of every journal of a new group."""
+    """Creates the first entry of every journal in a new group."""
     return Entry(1, 1, EntryKind.MEMBERS, encode_members(members))
 
 
 @attrs.frozen
 class Output:
-    """What the driver must do, in the order of the fields.
+    """Work for the driver, to be done in the order of the fields.
 
     The journal saves the first six fields with one sync. Only then may the
     driver send the messages and apply the committed entries.
 
     Attributes:
-        hard_state: Changed term or vote.
-        snapshot: Snapshot received from the leader; it replaces the log and
+        hard_state: Term and vote, if changed.
+        snapshot: Snapshot received from the leader. It replaces the log, and
             the driver restores its state from it before applying entries.
-        compacted: Snapshot made by `Replica.compact`, to be saved only.
-        tail: With a snapshot, every entry of the log after it.
-        truncate_from: First index to drop before appending.
+        compacted: Snapshot created by `Replica.compact`, to be saved only.
+        tail: With a snapshot, all log entries after it.
+        truncate_from: First index to remove before appending.
         entries: Entries to append.
-        messages: Receiver names and messages.
-        committed: Entries to apply, in order.
+        messages: Pairs of receiver name and message.
+        committed: Committed entries to apply, in order.
     """
 
     hard_state: HardState | None = None
@@ -327,7 +327,7 @@
 
     @property
     def needs_sync(self) -> bool:
-        """Whether the journal has anything to save."""
+        """Whether the journal has to save anything."""
         return bool(
             self.hard_state
             or self.snapshot
--- a/knapweedarch/replica_status.py
+++ b/knapweedarch/replica_status.py
@@ -1,4 +1,4 @@
-"""State of a replica, as far as its driver may read it."""
+"""State of a replica, with the properties that its driver reads."""
 
 import attrs
 
@@ -22,11 +22,11 @@
 
     Attributes:
         name: Name of this member.
-        kept_entries: Entries kept in memory before a snapshot, so that a
-            member that lags a little does not need the whole snapshot.
-        voters: Voters that the group should have. Members that ask to join
-            become voters up to this number; 0 takes in none but those that
-            come back with a new identity.
+        kept_entries: Number of entries before the snapshot kept in memory, so
+            that a slightly lagging member does not need the whole snapshot.
+        voters: Target number of voters. Members that ask to join become voters
+            up to this number. If 0, only known members that return with a new
+            identity are admitted.
     """
 
     name: str
@@ -35,15 +35,15 @@
 
 
 class ReplicaStatus:
-    """What the driver may read of a replica.
+    """State of a replica, and its read-only interface for the driver.
 
     Attributes:
         name: Name of this member.
         identity: Identity of this member's journal.
-        term: Newest term seen.
-        role: Part that it plays in the term.
-        leader: Name of the leader of the term if known.
-        leader_since: When this replica took office; None if it does not lead.
+        term: Newest known term.
+        role: Role in the current term.
+        leader: Name of the leader of the current term, if known.
+        leader_since: When this replica became leader; None if it is not.
     """
 
     def __init__(self, cfg: ReplicaConfig, restored: Restored, seed: int):
@@ -65,17 +65,17 @@
 
     @property
     def term(self) -> int:
-        """Newest term seen."""
+        """Newest known term."""
         return self._election.term
 
     @property
     def commit_index(self) -> int:
-        """Last entry known to be committed."""
+        """Index of the last entry known to be committed."""
         return self._log.commit_index
 
     @property
     def last_index(self) -> int:
-        """Last entry of the log."""
+        """Index of the last log entry."""
         return self._log.last_index
 
     @property
@@ -95,20 +95,20 @@
 
     @property
     def bytes_since_snapshot(self) -> int:
-        """Size of the data after the snapshot, in bytes."""
+        """Size of the entry data after the snapshot, in bytes."""
         return self._log.bytes_since_snapshot
 
     @property
     def entries_since_snapshot(self) -> int:
-        """Number of entries after the snapshot."""
+        """Number of log entries after the snapshot."""
         snapshot = self._log.snapshot
         return self._log.last_index - (snapshot.index if snapshot else 0)
 
     def leads_until(self, now: float) -> float:
-        """Returns the end of the leader lease; 0.0 when it does not hold.
+        """Returns when the leader lease ends; 0.0 if it is not held.
 
-        The lease counts only once an entry of this term was handed out as
-        committed; before that the application may lack changes of earlier
+        The lease is valid only once an entry of this term has been returned as
+        committed. Until then the application may lack changes from earlier
         terms.
         """
         leadership = self._leadership
