--- a/features/journal.feature
+++ b/features/journal.feature
@@ -1,73 +1,73 @@
 Feature: Journal files
 
   Scenario Outline: A torn last record is cut and nothing before it is lost
-    Given a journal with 20 random saves and a twin in memory
+    Given a journal with 20 random saves and an in-memory model
     When the last record is <damage>
     Then the journal opens with all but the last save
 
     Examples:
-      | damage                |
-      | cut at every byte     |
-      | overwritten by zeros  |
-      | followed by zeros     |
+      | damage               |
+      | cut at every byte    |
+      | overwritten by zeros |
+      | followed by zeros    |
 
   Scenario: Random saves and restarts give back exactly what was saved
-    Then 60 random journals agree with their twins after every restart
+    Then 60 random journals match their models after every restart
 
   Scenario Outline: Damage that a crash cannot cause stops the process
-    Given a journal with 20 random saves and a twin in memory
+    Given a journal with 20 random saves and an in-memory model
     When <damage>
     Then opening the journal fails with "<reason>"
 
     Examples:
-      | damage                               | reason                 |
-      | a middle record is corrupt           | before a synced record |
-      | the first record is corrupt          | the start of log       |
-      | the journal's file snapshot- is corrupt              | is corrupt             |
-      | the journal's file snapshot- is missing              | is missing             |
-      | the journal's file identity is missing             | identity is missing    |
-      | the journal's file identity is corrupt             | identity is corrupt    |
-      | another process has the journal open | cannot open            |
+      | damage                                  | reason                 |
+      | a middle record is corrupt              | before a synced record |
+      | the first record is corrupt             | the start of log       |
+      | the journal's file snapshot- is corrupt | is corrupt             |
+      | the journal's file snapshot- is missing | is missing             |
+      | the journal's file identity is missing  | identity is missing    |
+      | the journal's file identity is corrupt  | identity is corrupt    |
+      | another process has the journal open    | cannot open            |
 
   Scenario: Callers cannot make a torn record look like corruption
-    Given a journal with 20 random saves and a twin in memory
+    Given a journal with 20 random saves and an in-memory model
     When the last record holds a copy of an earlier record and is torn
     Then the journal opens with all but the last save
 
   Scenario Outline: After a failure the journal saves nothing more
-    Given a journal with 20 random saves and a twin in memory
+    Given a journal with 20 random saves and an in-memory model
     When the operation <operation> fails with <error> while <what> is saved
     Then the save fails and so does every later one
     And the journal opens with the last save or without it
 
     Examples:
-      | operation   | error  | what     |
-      | write_all   | ENOSPC | an entry    |
-      | sync        | EIO    | an entry    |
+      | operation   | error  | what       |
+      | write_all   | ENOSPC | an entry   |
+      | sync        | EIO    | an entry   |
       | write_all   | ENOSPC | a snapshot |
       | sync        | EIO    | a snapshot |
       | rename      | EIO    | a snapshot |
       | sync_folder | EIO    | a snapshot |
 
   Scenario: A member whose disk is full waits for room
-    Guards against a process that ends and is started again until there is room.
-    Given a journal with 1 random saves and a twin in memory
-    And the disk has room again after 2 attempts to write
+    Guards against a process that exits and is restarted until the disk has room.
+    Given a journal with 1 random saves and an in-memory model
+    And the disk is full for the first 2 write attempts
     When a member opens the journal
-    Then it opened at the third attempt with everything that was saved
-    And the log tells once that the disk is full
+    Then it opened at the third attempt with all saved entries
+    And the log reports once that the disk is full
 
   Scenario: A record whose sync failed is written again before it counts
-    Given a journal with 20 random saves and a twin in memory
+    Given a journal with 20 random saves and an in-memory model
     When the operation sync fails with EIO while an entry is saved
     Then the next start writes the log to a new file and syncs it
 
   Scenario: Hundreds of changes leave one log file and one snapshot
-    Given a journal with 900 changes and a snapshot after each 100
+    Given a journal with 900 changes and a snapshot after every 100
     Then the folder holds 4 files and less than 60000 bytes
 
   Scenario: Forming a group is refused unless the journal is blank
-    Given a journal with 20 random saves and a twin in memory
+    Given a journal with 20 random saves and an in-memory model
     Then forming a group is refused
 
   Scenario: A group forms, restarts together and keeps its entries
@@ -76,8 +76,8 @@
     Then all members hold the entry again
 
   Scenario Outline: A restarted member counts its wait from its start
-    Guards against an outage that is longer by the time that imports take, and
-    against a vote while what it promised before may still count.
+    Guards against an outage prolonged by the time that imports take, and against
+    a vote while a lease from before the restart may still hold.
     Given three blank journals that form a group
     When a member is created <age> s after its process started
     Then it <votes> for another candidate at once
--- a/features/steps/journal_steps.py
+++ b/features/steps/journal_steps.py
@@ -37,7 +37,7 @@
 
 
 def make_operation_fail(files, operation, code):
-    """Makes a file operation fail; a failed write leaves half of the data."""
+    """Makes a file operation fail; a failed write stores half of the data."""
     original = getattr(files, operation)
 
     def failing(*args):
@@ -49,7 +49,7 @@
 
 
 class JournalAndModel:
-    """A journal and a twin in memory that saves the same."""
+    """A journal and an in-memory model that saves the same outputs."""
 
     def __init__(self, folder, seed):
         self.folder, self.random = folder, random.Random(seed)
@@ -64,7 +64,7 @@
         self.journal = open_journal(self.folder, self.files)
 
     def output(self, snapshot=False):
-        """Draws an output that a replica might give."""
+        """Generates a random output that a replica could return."""
         rng, model = self.random, self.model
         base = model.snapshot.index if model.snapshot else 0
         last = base + len(model.entries)
@@ -86,7 +86,7 @@
         return Output(state, compacted=taken, tail=kept)
 
     def save(self, output):
-        """Saves in both."""
+        """Saves an output to the journal and the model."""
         self.before = self.model.restored()
         self.journal.save(output)
         self.model.save(output)
@@ -98,7 +98,7 @@
     return folder
 
 
-@given("a journal with {count:d} random saves and a twin in memory")
+@given("a journal with {count:d} random saves and an in-memory model")
 def random_journal(context, count):
     context.pair = JournalAndModel(temporary_folder(context), 1)
     for number in range(count):
@@ -143,7 +143,7 @@
 @when("the last record holds a copy of an earlier record and is torn")
 def save_embedded_record(context):
     pair = context.pair
-    # The other journal has another identity and so another seed.
+    # The other journal has another identity and so another checksum seed.
     other = JournalAndModel(temporary_folder(context), 2)
     other.save(other.output())
     copy = log_path(other).read_bytes()
@@ -160,7 +160,7 @@
     check_opens_with(context.pair, context.pair.before)
 
 
-@then("{count:d} random journals agree with their twins after every restart")
+@then("{count:d} random journals match their models after every restart")
 def journals_agree(context, count):
     for seed in range(count):
         pair = JournalAndModel(temporary_folder(context), seed)
@@ -237,7 +237,7 @@
         except JournalError:
             pair.files.__dict__.pop(context.operation, None)
         else:
-            raise AssertionError("the journal saved")
+            raise AssertionError("the save succeeded")
 
 
 @then("the journal opens with the last save or without it")
@@ -258,12 +258,12 @@
     pair.journal.close()
     journal = open_journal(pair.folder)
     assert not old.exists()
-    # The record was written, only its sync failed, so it may count.
+    # The record was written and only its sync failed, so it may be restored.
     assert journal.restored.entries[-1] == context.last.entries[-1]
     journal.close()
 
 
-@given("a journal with {count:d} changes and a snapshot after each {each:d}")
+@given("a journal with {count:d} changes and a snapshot after every {each:d}")
 def save_many_changes(context, count, each):
     context.pair = pair = JournalAndModel(temporary_folder(context), 3)
     for number in range(1, count + 1):
@@ -286,11 +286,11 @@
     except JournalError as exc:
         assert "not blank" in str(exc)
     else:
-        raise AssertionError("a second group was formed")
+        raise AssertionError("the journal formed a second group")
 
 
 def run_group(context, data, seconds=3.0):
-    """Runs replicas on their journals; returns what each one applied."""
+    """Runs replicas on their journals; returns the data each one applied."""
     replicas = {
         name: create_replica(ReplicaConfig(name), j.restored, seed)
         for seed, (name, j) in enumerate(context.journals.items())
@@ -347,7 +347,7 @@
     assert all(b"kept" in data for data in applied.values()), applied
 
 
-@given("the disk has room again after {count:d} attempts to write")
+@given("the disk is full for the first {count:d} write attempts")
 def fill_disk_for(context, count):
     context.pair.journal.close()
     context.attempts = 0
@@ -378,7 +378,7 @@
     context.member = anyio.run(run)
 
 
-@then("it opened at the third attempt with everything that was saved")
+@then("it opened at the third attempt with all saved entries")
 def opened_with_saved_state(context):
     assert context.attempts == 3, context.attempts
     journal = context.member._journal
@@ -386,7 +386,7 @@
     journal.close()
 
 
-@then("the log tells once that the disk is full")
+@then("the log reports once that the disk is full")
 def logged_once(context):
     lines = context.log_lines.getvalue().splitlines()
     names = [json.loads(line)["event_name"] for line in lines]
--- a/knapweedarch/codec.py
+++ b/knapweedarch/codec.py
@@ -1,4 +1,4 @@
-"""Data classes to and from `msgpack`, tagged with the class name."""
+"""Codec for data classes as `msgpack`, tagged with the class name."""
 
 from collections.abc import Iterable
 
@@ -10,10 +10,11 @@
 
 
 class Codec:
-    """Encodes and decodes a closed set of `attrs` classes.
+    """Encodes and decodes a fixed set of `attrs` classes.
 
-    A message is the array `[class name, [field, ...]]`. Unknown names and
-    wrong fields are refused, so a link accepts nothing that it does not know.
+    A message is encoded as the array `[class name, [field, ...]]`. Unknown
+    class names and invalid fields are rejected, so a link accepts only the
+    messages that its codec was created for.
     """
 
     def __init__(self, classes: Iterable[type]):
@@ -26,18 +27,18 @@
         """Encodes a message.
 
         Raises:
-            CodecError: The class of the message is not in the set.
+            CodecError: The message's class is unknown to this codec.
         """
         name = type(message).__name__
         if name not in self._classes:
-            raise CodecError(f"message class {name} is not known")
+            raise CodecError(f"unknown message class {name}")
         return msgpack.packb([name, self._converter.unstructure(message)])
 
     def decode(self, data: bytes) -> object:
         """Decodes a message.
 
         Raises:
-            CodecError: The bytes are malformed or name an unknown class.
+            CodecError: The data is malformed or its class is unknown.
         """
         try:
             name, fields = msgpack.unpackb(data, strict_map_key=False)
@@ -47,5 +48,5 @@
 
 
 def create_codec(*classes: type) -> Codec:
-    """Creates a codec for the given classes."""
+    """Creates a codec for the given `attrs` classes."""
     return Codec(classes)
--- a/knapweedarch/journal.py
+++ b/knapweedarch/journal.py
@@ -1,18 +1,18 @@
 """Log and snapshot files of one member.
 
-The folder holds:
+The folder contains:
 
-- `identity`: random text, drawn once.
+- `identity`: random identifier, generated once.
 - `log-<number>`: frames, each saved with one sync. Only the file with the
-  highest number counts. Its first frame names the snapshot that it follows,
-  with the term, the vote and every entry after that snapshot.
-- `snapshot-<index>-<term>`: state of the application, in one frame.
-- `*.tmp`: files that were not complete when the process ended; ignored.
-
-A new snapshot starts a new log file, so the size of the folder and the time
-to start are bounded by one snapshot and the changes since. The new log file
-counts from the moment of its rename; a crash before it leaves the old log
-file and the old snapshot in force.
+  highest number is valid. Its first frame contains the index and term of the
+  preceding snapshot, the term, the vote and every entry after that snapshot.
+- `snapshot-<index>-<term>`: application state, in one frame.
+- `*.tmp`: files that were incomplete when the process ended; ignored.
+
+Each new snapshot starts a new log file, so the size of the folder and the
+start-up time are bounded by one snapshot and the changes since. The new log
+file becomes valid when it is renamed; after a crash before that, the old log
+file and the old snapshot remain valid.
 """
 
 import errno
@@ -41,14 +41,13 @@
 IDENTITY_BYTES = 8
 DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 MAGIC = b"KWJ1"
-# Magic, frame number, size of the content, checksum of all that and of the
-# content.
+# Magic, frame number, content size, and a checksum of these and the content.
 HEADER = struct.Struct("<4sQQQ")
 
 
 @attrs.frozen
 class _Start:
-    """First frame of a log file."""
+    """Content of the first frame of a log file."""
 
     snapshot_index: int
     snapshot_term: int
@@ -58,7 +57,7 @@
 
 @attrs.frozen
 class _Change:
-    """Any later frame: what one call of `Journal.save` changed."""
+    """Content of a later frame: the changes of one `Journal.save` call."""
 
     hard_state: HardState | None
     truncate_from: int | None
@@ -82,7 +81,7 @@
 def _unpack_frame(
     data: bytes, offset: int, seed: int
 ) -> tuple[int, bytes] | None:
-    """Returns number and content of the frame at `offset` if it is whole."""
+    """Returns the number and content of an intact frame at `offset`."""
     if len(data) - offset < HEADER.size:
         return None
     magic, number, size, checksum = HEADER.unpack_from(data, offset)
@@ -97,7 +96,7 @@
 
 
 def _contains_frame(data: bytes, offset: int, seed: int) -> bool:
-    """Tells whether a whole frame lies anywhere after `offset`."""
+    """Returns whether there is an intact frame at or after `offset`."""
     while (offset := data.find(MAGIC, offset)) >= 0:
         if _unpack_frame(data, offset, seed) is not None:
             return True
@@ -106,14 +105,14 @@
 
 
 class Journal:
-    """Durable part of one member.
+    """Persistent storage of one member.
 
-    After a failure nothing is known of what the disk holds, so every later
-    call fails too and the process must stop.
+    After a failed write the state of the disk is unknown, so every later call
+    fails too and the process must stop.
 
     Attributes:
         identity: Identity of the journal.
-        restored: What the files held at the start.
+        restored: Contents of the files when the journal was opened.
     """
 
     def __init__(self, files: JournalFiles):
@@ -123,8 +122,8 @@
             files.lock()
             files.remove_temporary()
             self.identity = self._load_identity()
-            # Content comes from callers. The seed makes it impossible that
-            # it contains what looks like a frame.
+            # Callers control the content. A checksum seed that they do not
+            # know prevents content that looks like a valid frame.
             self._seed = int(self.identity, 16)
             self.restored = self._load()
         except OSError as exc:
@@ -155,7 +154,7 @@
         names = self._files.matching("log-")
         numbers = [name.removeprefix("log-") for name in names]
         if not all(number.isdecimal() for number in numbers):
-            raise JournalError(f"unknown files in the folder: {names}")
+            raise JournalError(f"unexpected log file names: {names}")
         return sorted(map(int, numbers))
 
     def _load(self) -> Restored:
@@ -182,10 +181,11 @@
         return restored
 
     def _rewrite_log(self, data: bytes) -> None:
-        """Writes the whole log anew.
+        """Writes the whole log to a new file.
 
-        If a sync failed before the process ended, what was read may exist in
-        memory only, and a second sync of the same file would not tell.
+        If a sync failed before the process ended, the data read may exist only
+        in the page cache, and a second sync of the same file would not report
+        the failure.
         """
         self._log_number += 1
         self._files.write_new(f"log-{self._log_number}", data)
@@ -196,7 +196,7 @@
         while frame := _unpack_frame(data, offset, self._seed):
             number, content = frame
             if number != len(frames):
-                raise JournalError(f"record {len(frames)} is missing")
+                raise JournalError(f"log record {len(frames)} is missing")
             frames.append(self._decode(content))
             offset += HEADER.size + len(content)
         return frames, offset
@@ -205,7 +205,7 @@
         try:
             return _FRAME_CODEC.decode(content)
         except CodecError as exc:
-            raise JournalError(f"a record is malformed: {exc}") from exc
+            raise JournalError(f"malformed record: {exc}") from exc
 
     def _replay(self, frames: list[object]) -> Restored:
         start = frames[0]
@@ -218,7 +218,7 @@
                 del entries[change.truncate_from - first :]
             entries += change.entries
         if any(e.index != i for i, e in enumerate(entries, first)):
-            raise JournalError("the entries of the log are not consecutive")
+            raise JournalError("the log entries are not consecutive")
         self._hard_state = hard_state
         return Restored(self.identity, hard_state, snapshot, tuple(entries))
 
@@ -242,36 +242,40 @@
     # Saving.
 
     def form(self, members: tuple[Member, ...]) -> None:
-        """Gives a blank journal the first entry of a new group.
+        """Writes the first entry of a new group to a blank journal.
 
         Raises:
-            JournalError: The journal is not blank, is not among the members,
-                or the files cannot be written.
+            JournalError: The journal is not blank, does not belong to an
+                initial voter, or cannot be written.
         """
         if not self.restored.blank or self._log_number:
             raise JournalError("the journal is not blank")
         if self.identity not in {m.identity for m in members if m.voter}:
-            raise JournalError("this member is not among the first voters")
+            raise JournalError(
+                "this member is not an initial voter of the group"
+            )
         entry = initial_members_entry(members)
         hard_state = HardState(entry.term)
         self.save(Output(hard_state=hard_state, entries=(entry,)))
         self.restored = Restored(self.identity, hard_state, None, (entry,))
 
     def save(self, output: Output) -> None:
-        """Makes an output durable with one sync.
+        """Persists an output with one sync.
 
         Raises:
-            JournalError: A file operation failed, now or earlier.
+            JournalError: A file operation failed, in this or an earlier call.
         """
         if self._failure:
-            raise JournalError(f"the journal failed earlier: {self._failure}")
+            raise JournalError(
+                f"an earlier journal operation failed: {self._failure}"
+            )
         if not output.needs_sync:
             return
         try:
             self._save(output)
         except OSError as exc:
             self._failure = str(exc)
-            raise JournalError(f"cannot save: {exc}") from exc
+            raise JournalError(f"cannot write to the journal: {exc}") from exc
 
     def _save(self, output: Output) -> None:
         self._hard_state = output.hard_state or self._hard_state
@@ -325,10 +329,10 @@
 
 
 def open_journal(folder: str, files: JournalFiles | None = None) -> Journal:
-    """Opens the journal in a folder; a missing folder is created.
+    """Opens the journal in a folder, which is created if missing.
 
     Raises:
-        JournalFullError: The disk has no room; nothing is lost.
-        JournalError: The files are corrupt, in use or cannot be read.
+        JournalFullError: The disk is full; no data is lost.
+        JournalError: The files are corrupt, in use or unreadable.
     """
     return Journal(files or JournalFiles(folder))
--- a/knapweedarch/journal_files.py
+++ b/knapweedarch/journal_files.py
@@ -1,4 +1,4 @@
-"""File operations of the journal; tests replace them to cause failures."""
+"""File operations of the journal; tests override them to inject faults."""
 
 import fcntl
 import os
@@ -8,7 +8,7 @@
 
 
 class JournalFiles:
-    """Files in one folder; every write is durable when the call returns."""
+    """Files in one folder; each write is durable when its call returns."""
 
     def __init__(self, folder: str | os.PathLike):
         self.folder = pathlib.Path(folder)
@@ -16,25 +16,25 @@
         self._lock_fd = -1
 
     def lock(self) -> None:
-        """Creates the folder and keeps a second process out of it."""
+        """Creates the folder and takes an exclusive lock on it."""
         self.folder.mkdir(parents=True, exist_ok=True)
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
         self._lock_fd = os.open(self.folder / "lock", flags, 0o600)
         fcntl.flock(self._lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
     def close(self) -> None:
-        """Closes the log and lets other processes use the folder."""
+        """Closes the log file and releases the lock."""
         for descriptor in (self._log_fd, self._lock_fd):
             if descriptor >= 0:
                 os.close(descriptor)
         self._log_fd = self._lock_fd = -1
 
     def names(self) -> set[str]:
-        """Lists the files."""
+        """Returns the names of all files."""
         return set(os.listdir(self.folder))
 
     def matching(self, prefix: str) -> list[str]:
-        """Lists the complete files whose names start with a prefix."""
+        """Returns the sorted names of complete files with a prefix."""
         return sorted(
             name
             for name in self.names()
@@ -42,25 +42,25 @@
         )
 
     def random_bytes(self, size: int) -> bytes:
-        """Returns random bytes for an identity."""
+        """Returns random bytes for the identity."""
         return os.urandom(size)
 
     def read(self, name: str) -> bytes:
-        """Reads a whole file."""
+        """Returns the content of a file."""
         return (self.folder / name).read_bytes()
 
     def remove(self, name: str) -> None:
-        """Removes a file."""
+        """Deletes a file."""
         os.unlink(self.folder / name)
 
     def remove_temporary(self) -> None:
-        """Removes files that were not complete when a process ended."""
+        """Removes files that were incomplete when a process ended."""
         for name in self.names():
             if name.endswith(TEMPORARY_SUFFIX):
                 self.remove(name)
 
     def write_new(self, name: str, data: bytes) -> None:
-        """Writes a file that exists whole or not at all after a crash."""
+        """Writes a file atomically: after a crash it is complete or absent."""
         temporary = name + TEMPORARY_SUFFIX
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
         descriptor = os.open(self.folder / temporary, flags, 0o600)
@@ -73,11 +73,11 @@
         self.sync_folder()
 
     def rename(self, old: str, new: str) -> None:
-        """Renames a file; the new name replaces an existing one."""
+        """Renames a file, replacing an existing file of the new name."""
         os.rename(self.folder / old, self.folder / new)
 
     def open_log(self, name: str) -> None:
-        """Opens a file for `append`."""
+        """Opens the log file that `append` writes to."""
         if self._log_fd >= 0:
             os.close(self._log_fd)
             self._log_fd = -1
@@ -85,22 +85,22 @@
         self._log_fd = os.open(self.folder / name, flags)
 
     def append(self, data: bytes) -> None:
-        """Appends to the log and syncs it."""
+        """Appends data to the log file and syncs it."""
         self.write_all(self._log_fd, data)
         self.sync(self._log_fd)
 
     def write_all(self, descriptor: int, data: bytes) -> None:
-        """Writes all bytes; a disk may take only a part at a time."""
+        """Writes all bytes, repeating partial writes."""
         view = memoryview(data)
         while view:
             view = view[os.write(descriptor, view) :]
 
     def sync(self, descriptor: int) -> None:
-        """Waits until the data of a file is on the disk."""
+        """Syncs the data of a file to the disk."""
         os.fdatasync(descriptor)
 
     def sync_folder(self) -> None:
-        """Waits until the names in the folder are on the disk."""
+        """Syncs the directory entries of the folder to the disk."""
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
--- a/knapweedarch/links.py
+++ b/knapweedarch/links.py
@@ -1,10 +1,10 @@
-"""Framed `msgpack` streams over TCP between the system's own processes.
+"""Framed `msgpack` messages over TCP between the system's own processes.
 
-A frame is a 4-byte length and that many bytes. Both ends prove that they hold
-the shared credential (HMAC-SHA256 over the other end's nonce) before the first
-message. Each end sends a keep-alive when it is idle, and closes a link on
-which nothing arrived for `LINK_TIMEOUT_S`: a connection that a middle box
-forgot stays open for good at both ends.
+A frame is a 4-byte length followed by that many bytes. Before the first
+message, both ends prove that they hold the shared credential (HMAC-SHA256 over
+the other end's nonce). Each end sends keep-alives when idle and closes a link
+that has received nothing for `LINK_TIMEOUT_S`, because a connection whose state
+a middlebox has dropped would otherwise stay open for ever at both ends.
 """
 
 import hmac
@@ -22,8 +22,8 @@
 
 KEEP_ALIVE_INTERVAL_S = 0.3
 LINK_TIMEOUT_S = 1.0
-# An instance without power lets a connection hang. The kernel asks again only
-# after a second, by when the instance may have been up for most of it.
+# A connection attempt to an instance without power hangs. The kernel resends
+# the SYN only after 1 s, and the instance may be up again long before that.
 CONNECT_TIMEOUT_S = 0.4
 MAX_FRAME_BYTES = 8 * 1024 * 1024
 MAX_QUEUED_FRAMES = 4096
@@ -33,26 +33,26 @@
 
 @attrs.frozen
 class Challenge:
-    """First message of each end."""
+    """First frame from each end."""
 
     nonce: bytes
 
 
 @attrs.frozen
 class Proof:
-    """Answer to a challenge."""
+    """Reply to a challenge."""
 
     digest: bytes
 
 
 @attrs.frozen
 class Ping:
-    """Keep-alive."""
+    """Keep-alive frame."""
 
 
 @attrs.frozen
 class Call:
-    """A message that expects a reply."""
+    """A request message, which expects a reply."""
 
     number: int
     body: bytes
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class Reply:
-    """The reply to the call with the same number."""
+    """Reply to the call with the same number."""
 
     number: int
     body: bytes
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class Send:
-    """A message without a reply."""
+    """A one-way message."""
 
     body: bytes
 
@@ -79,9 +79,10 @@
 
 
 class Link:
-    """One connection between two processes.
+    """An authenticated connection between two processes.
 
-    Create it with `connect` or `serve`, and run it with `run`.
+    Links are created by `connect` and `serve`, and transfer messages while
+    `run` is running.
     """
 
     def __init__(
@@ -102,10 +103,11 @@
         self.closed = anyio.Event()
 
     def send(self, message: object) -> None:
-        """Queues a message; drops it when the link is closed.
+        """Queues a message; discards it if the link is closed.
 
         Raises:
-            LinkError: The other end reads too slowly.
+            LinkError: The message is too large, or the send queue is full
+                because the peer reads too slowly.
         """
         self._queue(Send(self._codec.encode(message)))
 
@@ -113,8 +115,8 @@
         """Sends a message and waits for its reply.
 
         Raises:
-            LinkError: The link closed or no reply came in time; the message
-                may have been acted upon.
+            LinkError: The link closed or no reply arrived in time. The peer
+                may have processed the message.
         """
         if self.closed.is_set():
             raise LinkError("the link is closed")
@@ -130,7 +132,9 @@
             del self._calls[number]
         if pending[1] is None:
             raise LinkError(
-                "no reply" if not self.closed.is_set() else "closed"
+                "no reply before the timeout"
+                if not self.closed.is_set()
+                else "the link closed before the reply"
             )
         return self._codec.decode(pending[1])
 
@@ -141,26 +145,26 @@
 
     def _queue_frame(self, data: bytes) -> None:
         if len(data) > MAX_FRAME_BYTES:
-            raise LinkError(f"frame of {len(data)} bytes is too large")
+            raise LinkError(f"outgoing frame of {len(data)} bytes is too large")
         self._queued_bytes += len(data)
         if (
             len(self._outbox) >= MAX_QUEUED_FRAMES
             or self._queued_bytes > MAX_QUEUED_BYTES
         ):
             self.close()
-            raise LinkError("the other end reads too slowly")
+            raise LinkError("send queue is full: the peer reads too slowly")
         self._outbox.append(struct.pack(">I", len(data)) + data)
         self._outbox_changed.set()
 
     def close(self) -> None:
-        """Closes the link; pending calls fail."""
+        """Closes the link and fails its pending calls."""
         self.closed.set()
         self._outbox_changed.set()
         for pending in self._calls.values():
             pending[0].set()
 
     async def run(self) -> None:
-        """Carries messages until the link closes."""
+        """Transfers messages until the link closes."""
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._write)
@@ -174,10 +178,10 @@
                 await anyio.aclose_forcefully(self._stream)
 
     async def _monitor(self) -> None:
-        """Closes a silent link and sends keep-alives on an idle one.
+        """Sends keep-alives on an idle link and closes a timed-out one.
 
-        One task looks at times that reads and writes leave behind; a timeout
-        around each read and write cost half of the work of a link.
+        A single task checks the times of the last read and write: a timeout
+        around each read and write took half of a link's processing time.
         """
         while not self.closed.is_set():
             await anyio.sleep(KEEP_ALIVE_INTERVAL_S)
@@ -219,7 +223,7 @@
                     case Call() as call:
                         group.start_soon(self._handle_call, call)
                     case Reply(number=number, body=body):
-                        # A reply that comes after its timeout has no waiter.
+                        # A reply that arrives after the timeout is discarded.
                         if pending := self._calls.get(number):
                             pending[1] = body
                             pending[0].set()
@@ -243,7 +247,7 @@
     async def _read_frame(self) -> object:
         (size,) = struct.unpack(">I", await self._read_exactly(4))
         if size > MAX_FRAME_BYTES:
-            raise LinkError(f"frame of {size} bytes is too large")
+            raise LinkError(f"incoming frame of {size} bytes is too large")
         return _FRAME_CODEC.decode(await self._read_exactly(size))
 
     async def _read_exactly(self, size: int) -> bytes:
@@ -256,7 +260,7 @@
                 anyio.BrokenResourceError,
                 anyio.ClosedResourceError,
             ) as exc:
-                raise LinkError("the link was closed") from exc
+                raise LinkError("the connection was closed") from exc
             self._last_receive_at = anyio.current_time()
         data = bytes(self._buffer[:size])
         del self._buffer[:size]
@@ -267,10 +271,10 @@
         try:
             await self._stream.send(struct.pack(">I", len(data)) + data)
         except (OSError, anyio.BrokenResourceError) as exc:
-            raise LinkError("the link was closed") from exc
+            raise LinkError("the connection was closed") from exc
 
     async def handshake(self, credential: bytes, role: bytes) -> None:
-        """Proves both ends to each other.
+        """Authenticates both ends to each other.
 
         Args:
             credential: The shared credential.
@@ -278,14 +282,14 @@
                 proof cannot be reflected to its sender.
 
         Raises:
-            CredentialError: The other end does not hold the credential.
-            LinkError: The link failed.
+            CredentialError: The peer does not hold the credential.
+            LinkError: The connection failed or the peer did not reply in time.
         """
         try:
             with anyio.fail_after(LINK_TIMEOUT_S):
                 await self._exchange_proofs(credential, role)
         except TimeoutError as exc:
-            raise LinkError("the other end does not answer") from exc
+            raise LinkError("handshake timed out") from exc
 
     async def _exchange_proofs(self, credential: bytes, role: bytes) -> None:
         other_role = b"server" if role == b"client" else b"client"
@@ -293,7 +297,7 @@
         await self._write_frame(Challenge(nonce))
         challenge = await self._read_frame()
         if not isinstance(challenge, Challenge):
-            raise CredentialError("the other end sent no challenge")
+            raise CredentialError("peer sent no challenge")
         proof = hmac.digest(credential, role + challenge.nonce, "sha256")
         await self._write_frame(Proof(proof))
         answer = await self._read_frame()
@@ -301,17 +305,18 @@
         if not isinstance(answer, Proof) or not hmac.compare_digest(
             answer.digest, expected
         ):
-            raise CredentialError("the other end holds another credential")
+            raise CredentialError("peer holds a different credential")
 
 
 async def connect(
     host: str, port: int, credential: bytes, codec: Codec, handler: Handler
 ) -> Link:
-    """Opens a link; the caller must run it.
+    """Opens a link and authenticates it; the caller must run it.
 
     Raises:
-        LinkError: No connection within `CONNECT_TIMEOUT_S`.
-        CredentialError: The other end holds another credential.
+        LinkError: The connection failed, was not established within
+            `CONNECT_TIMEOUT_S`, or failed during the handshake.
+        CredentialError: The peer holds a different credential.
     """
     try:
         with anyio.fail_after(CONNECT_TIMEOUT_S):
@@ -342,10 +347,10 @@
     Args:
         listener: TCP listener.
         credential: The shared credential.
-        codec: Messages that may come.
+        codec: Codec for the messages.
         handler: Called with each message; its result is the reply to a call.
-        on_refused: Told of each peer with a wrong credential.
-        on_closed: Told of each link that ended.
+        on_refused: Called when a peer holds a different credential.
+        on_closed: Called when an authenticated link has ended.
     """
 
     async def accept(stream: anyio.abc.SocketStream) -> None:
