--- a/knapweedarch/replica_election.py
+++ b/knapweedarch/replica_election.py
@@ -6,18 +6,19 @@
 from knapweedarch.replica_log import ReplicaLog
 from knapweedarch.replica_messages import HardState, VoteReply, VoteRequest
 
-# A pre-vote changes nothing at the voters, and a refused one is usually only
-# too early, so it is repeated soon. A vote waits for a sync at each voter.
+# A pre-vote changes no state of the voters, and a rejected one was usually just
+# too early, so it is retried soon. A vote waits for a sync at each voter.
 PRE_VOTE_RETRY_S = (0.1, 0.3)
 VOTE_RETRY_S = (0.3, 0.6)
 
 
 class Election:
-    """What a replica knows of terms and votes.
+    """Term, vote and election timer of one replica.
 
     Attributes:
         hard_state: Term and vote.
-        is_fresh: Whether no leader was heard since the process started.
+        just_restarted: Whether the process has not heard from a leader since
+            it started.
     """
 
     def __init__(self, identity: str, hard_state: HardState, seed: int):
@@ -26,9 +27,9 @@
         self._identity = identity
         self._random = random.Random(seed)
         self._votes: dict[bool, set[str]] = {True: set(), False: set()}
-        self.is_fresh = False
-        self._restarted: set[str] = set()
-        self._no_vote_until = 0.0
+        self.just_restarted = False
+        self._restarted_voters: set[str] = set()
+        self._refuse_votes_until = 0.0
         self._due_at = 0.0
 
     @property
@@ -36,44 +37,44 @@
         """Newest term seen."""
         return self.hard_state.term
 
-    def started(self, now: float) -> None:
-        """Waits as long as a promise of the process before may last.
+    def start_restart_wait(self, now: float) -> None:
+        """Refuses votes while a lease from before the restart may still hold.
 
-        It asks the others at once all the same: when every voter has
-        restarted, there is no promise to wait for.
+        The pre-vote starts at once all the same: if every voter has
+        restarted, no process holds a lease and there is nothing to wait for.
         """
-        self.heard_leader(now)
-        self.is_fresh = True
+        self.record_leader_contact(now)
+        self.just_restarted = True
         self._due_at = now
 
-    def heard_leader(self, now: float) -> None:
-        """Starts the time in which this replica votes for nobody."""
-        self.is_fresh = False
+    def record_leader_contact(self, now: float) -> None:
+        """Restarts the period in which this replica grants no votes."""
+        self.just_restarted = False
         self._votes = {True: set(), False: set()}
-        self._no_vote_until = now + MIN_ELECTION_S
+        self._refuse_votes_until = now + MIN_ELECTION_S
         self._restart_timer(now, MIN_ELECTION_S, MAX_ELECTION_S)
 
-    def hears_leader(self, now: float) -> bool:
-        """Tells whether a leader may count on this replica's silence."""
-        return now < self._no_vote_until
+    def has_recent_leader(self, now: float) -> bool:
+        """Returns whether a leader's lease may rely on this replica."""
+        return now < self._refuse_votes_until
 
     def _restart_timer(self, now: float, low_s: float, high_s: float) -> None:
         self._due_at = now + self._random.uniform(low_s, high_s)
 
     def retry_later(self, now: float) -> None:
-        """Gives another candidate the time to be elected."""
+        """Delays the next attempt so that another candidate can be elected."""
         self._restart_timer(now, *VOTE_RETRY_S)
 
-    def due(self, now: float) -> bool:
-        """Tells whether it is time to seek office."""
+    def timer_expired(self, now: float) -> bool:
+        """Returns whether the election timer has expired."""
         return now >= self._due_at
 
-    def adopt(self, term: int) -> None:
-        """Enters a newer term without a vote."""
+    def enter_term(self, term: int) -> None:
+        """Enters a newer term without having voted in it."""
         self.hard_state = HardState(term)
         self._votes = {True: set(), False: set()}
 
-    def ask(
+    def start_round(
         self,
         log: ReplicaLog,
         pre: bool,
@@ -81,14 +82,14 @@
         handed_over: bool = False,
         all_restarted: bool = False,
     ) -> VoteRequest:
-        """Begins a round of votes, or of pre-votes; returns the request.
+        """Starts a vote or pre-vote round; returns the request.
 
-        A new round of pre-votes in the same term keeps what was counted: an
-        answer may take longer than a round.
+        A new pre-vote round in the same term keeps the votes already counted,
+        since a reply may take longer than a round.
         """
         self._restart_timer(now, *(PRE_VOTE_RETRY_S if pre else VOTE_RETRY_S))
         if not pre:
-            self.adopt(self.term + 1)
+            self.enter_term(self.term + 1)
             self.hard_state = HardState(self.term, self._identity)
         return self._request(log, pre, handed_over, all_restarted)
 
@@ -109,38 +110,44 @@
             all_restarted,
         )
 
-    def ask_back(
+    def counter_request(
         self, request: VoteRequest, log: ReplicaLog, now: float
     ) -> VoteRequest | None:
-        """Returns what to ask a voter that has just asked, if anything.
+        """Returns a pre-vote request to send back to a candidate, if any.
 
-        A voter that starts last is thereby known to the best candidate at
-        once. The better of two asks, so they do not ask each other for ever.
-        After the wait nobody needs to know who has restarted.
+        It lets the best candidate learn at once of the voter that restarted
+        last. Only the better candidate of two sends one, so that they do not
+        send requests back and forth for ever. After the restart wait nobody
+        needs to know which voters have restarted.
         """
-        if not (self.is_fresh and request.pre and self.hears_leader(now)):
+        if not (
+            self.just_restarted and request.pre and self.has_recent_leader(now)
+        ):
             return None
-        if request.identity in self._restarted:
+        if request.identity in self._restarted_voters:
             return None
         own = self._request(log, pre=True)
         return own if own.rank > request.rank else None
 
-    def yields_to(self, request: VoteRequest, log: ReplicaLog) -> bool:
-        """Tells whether a restarted voter leaves the office to a candidate."""
-        if not (self.is_fresh and request.pre and request.term > self.term):
+    def defers_to(self, request: VoteRequest, log: ReplicaLog) -> bool:
+        """Returns whether a restarted voter ranks a candidate above itself."""
+        if not (
+            self.just_restarted and request.pre and request.term > self.term
+        ):
             return False
         return request.rank > self._request(log, pre=True).rank
 
     def all_restarted(self, identity: str, voters: set[str]) -> bool:
-        """Notes a restarted voter; tells whether all others are."""
-        self._restarted.add(identity)
+        """Records a restarted voter; returns whether all voters restarted."""
+        self._restarted_voters.add(identity)
         others = voters - {self._identity}
-        return self.is_fresh and others <= self._restarted
+        return self.just_restarted and others <= self._restarted_voters
 
     def grant(self, request: VoteRequest, log: ReplicaLog, now: float) -> bool:
-        """Decides on a request of the current term or on a pre-vote.
+        """Decides on a pre-vote or on a vote in the current term.
 
-        A candidate that lacks entries which may be committed gets no vote.
+        A candidate whose log is behind this one gets no vote, because it may
+        lack committed entries.
         """
         newest = (request.last_term, request.last_index)
         if newest < (log.last_term, log.last_index):
@@ -155,8 +162,8 @@
         self._restart_timer(now, MIN_ELECTION_S, MAX_ELECTION_S)
         return True
 
-    def count(self, reply: VoteReply, voters: set[str]) -> bool:
-        """Counts a granted vote; tells whether a majority is reached."""
+    def count_vote(self, reply: VoteReply, voters: set[str]) -> bool:
+        """Counts a granted vote; returns whether there is a majority."""
         if reply.term != self.term + reply.pre:
             return False
         if not reply.pre and self.hard_state.voted_for != self._identity:
--- a/knapweedarch/replica_follower.py
+++ b/knapweedarch/replica_follower.py
@@ -1,4 +1,4 @@
-"""What a replica does with entries and snapshots of its leader."""
+"""Handling of entries and snapshots that a replica receives."""
 
 from knapweedarch.replica_log import ReplicaLog
 from knapweedarch.replica_messages import (
@@ -9,24 +9,25 @@
 
 
 class Follower:
-    """Takes what the leader of the current term sends.
+    """Applies entries and snapshots from the current term's leader to the log.
 
     Attributes:
-        installed: Snapshot that replaced the log and was not handed out yet.
+        installed: Snapshot that replaced the log and has not been returned by
+            `take_installed` yet.
     """
 
     def __init__(self, log: ReplicaLog):
         self.installed: Snapshot | None = None
         self._log = log
-        self._parts_of: tuple[str, int, int] | None = None
-        self._parts = bytearray()
+        self._buffered_snapshot: tuple[str, int, int] | None = None
+        self._buffer = bytearray()
 
-    def take_entries(self, request: AppendRequest) -> tuple[bool, int]:
-        """Takes entries.
+    def append_entries(self, request: AppendRequest) -> tuple[bool, int]:
+        """Appends entries to the log if it matches the leader's.
 
         Returns:
-            Whether the log now matches the request, and up to which index;
-            else the index from which the leader should try again.
+            True and the last matching index, or False and the index from
+            which the leader should retry.
         """
         previous = request.previous_index
         if previous > self._log.last_index:
@@ -41,42 +42,43 @@
         self._log.commit(min(request.commit_index, last))
         return True, last
 
-    def take_part(self, part: SnapshotPart) -> tuple[bool, int]:
-        """Takes a part of a snapshot.
+    def receive_part(self, part: SnapshotPart) -> tuple[bool, int]:
+        """Buffers a part of a snapshot and installs a complete snapshot.
 
         Returns:
-            Whether the log now covers the snapshot, and the next byte needed.
+            Whether the log now covers the snapshot, and the offset of the next
+            byte needed.
         """
-        if self._covers(part):
+        if self._is_covered(part):
             self._log.commit(part.index)
             return True, part.total
-        self._collect(part)
-        if len(self._parts) < part.total:
-            return False, len(self._parts)
+        self._buffer_part(part)
+        if len(self._buffer) < part.total:
+            return False, len(self._buffer)
         self.installed = Snapshot(
-            part.index, part.index_term, part.members, bytes(self._parts)
+            part.index, part.index_term, part.members, bytes(self._buffer)
         )
         self._log.install(self.installed)
-        self._parts_of, self._parts = None, bytearray()
+        self._buffered_snapshot, self._buffer = None, bytearray()
         return True, part.total
 
-    def _covers(self, part: SnapshotPart) -> bool:
+    def _is_covered(self, part: SnapshotPart) -> bool:
         return (
             part.index <= self._log.commit_index
             or self._log.term_at(part.index) == part.index_term
         )
 
-    def _collect(self, part: SnapshotPart) -> None:
-        # Two leaders may encode the same state differently, so parts of two
-        # terms are never joined.
+    def _buffer_part(self, part: SnapshotPart) -> None:
+        # Two leaders may encode the same state differently, so parts from
+        # different terms are never combined.
         snapshot = (part.identity, part.term, part.index)
-        if self._parts_of != snapshot:
-            self._parts_of, self._parts = snapshot, bytearray()
+        if self._buffered_snapshot != snapshot:
+            self._buffered_snapshot, self._buffer = snapshot, bytearray()
         end = part.offset + len(part.data)
-        if part.offset == len(self._parts) and end <= part.total:
-            self._parts += part.data
+        if part.offset == len(self._buffer) and end <= part.total:
+            self._buffer += part.data
 
     def take_installed(self) -> Snapshot | None:
-        """Returns the snapshot that replaced the log, once."""
+        """Returns the last installed snapshot and clears it."""
         installed, self.installed = self.installed, None
         return installed
