--- a/bench/control_slopes.py
+++ b/bench/control_slopes.py
@@ -144,7 +144,9 @@
         for number in range(count):
             group.start_soon(_router, cluster, number, stop_at)
         await anyio.sleep(3)
-        client = control.create_control([address], CREDENTIAL.encode(), Clock())
+        client = control.create_control_client(
+            [address], CREDENTIAL.encode(), Clock()
+        )
         async with client:
             version = (await client.status()).rules_version
             text = rule_text(max(CUSTOMER_COUNTS))
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -19,8 +19,8 @@
     Reserve,
     Reserved,
     Settle,
-    Stamper,
     TableFull,
+    TimestampSource,
 )
 
 STEPS = 120
@@ -65,7 +65,7 @@
     Attributes:
         phase: reserving, held, sent or closed.
         epoch: Lease epoch of the router when it reserved.
-        told: What the caller was told: an answer, not_run or unknown.
+        outcome: What the caller was told: an answer, not_run or unknown.
     """
 
     key: str
@@ -73,7 +73,7 @@
     holder: str
     epoch: int
     phase: str = "reserving"
-    told: str = ""
+    outcome: str = ""
 
 
 @attrs.define
@@ -81,14 +81,14 @@
     """A router; `lease` is code under test.
 
     Attributes:
-        cut_until: Until when it does not renew.
+        no_renewal_until: Until when it does not renew.
         frozen: Whether it does nothing else either until then.
     """
 
     name: str
     starts: int = 0
     lease: Lease = attrs.Factory(Lease)
-    cut_until: float = 0.0
+    no_renewal_until: float = 0.0
     frozen: bool = False
 
     @property
@@ -97,11 +97,11 @@
         return f"{self.name}.{self.starts}"
 
 
-class OnceSchedule:
+class AtMostOnceSchedule:
     """Callers, two routers, the log and a service, in virtual time.
 
     Attributes:
-        told: How often callers were told each kind of outcome.
+        outcomes: How often callers were told each kind of outcome.
         runs: How often the service ran each key.
     """
 
@@ -116,7 +116,9 @@
         self._random = random.Random(seed)
         self._state_class, self._state = state, state()
         self._one_holder, self._any_epoch = one_holder, any_epoch
-        self._ready = ("reserving", "held") if unreserved else ("held",)
+        self._sendable_phases = (
+            ("reserving", "held") if unreserved else ("held",)
+        )
         self._now = 10.0
         self._table = LeaseTable(0.0)
         self._routers = [CallRouter("r0"), CallRouter("r1")]
@@ -124,13 +126,24 @@
         self._queue: list = []
         self._unknown: set[str] = set()
         self._answers: dict[str, str] = {}
-        self.told, self.runs = Counter(), Counter()
+        self.outcomes, self.runs = Counter(), Counter()
 
     def run(self):
         """Runs the schedule; an `AssertionError` is a broken promise."""
         steps = (
-            *(self._ask, self._deliver, self._deliver, self._send, self._send),
-            *(self._pass_time, self._fault, self._resend, self._renew),
+            *(
+                self._start_call,
+                self._deliver,
+                self._deliver,
+                self._send_call,
+                self._send_call,
+            ),
+            *(
+                self._advance_time,
+                self._inject_fault,
+                self._duplicate_command,
+                self._renew,
+            ),
         )
         # Uneven weights reach states that even ones would hardly reach.
         weights = [self._random.choice((1, 2, 8)) for _ in steps]
@@ -139,16 +152,16 @@
 
     def _renew(self):
         for router in self._routers:
-            if self._now >= router.cut_until:
+            if self._now >= router.no_renewal_until:
                 duration_s = self._table.grant(router.incarnation, 0, self._now)
                 router.lease.granted(self._now, duration_s, self._now)
 
-    def _pass_time(self):
+    def _advance_time(self):
         for _ in range(self._random.randrange(1, 4)):
             self._now += 0.5
             self._renew()
 
-    def _fault(self):
+    def _inject_fault(self):
         router = self._random.choice(self._routers)
         match self._random.randrange(4):
             case 0:
@@ -158,7 +171,7 @@
                 router.starts += 1
                 router.lease = Lease()
             case 1:
-                router.cut_until = self._now + self._random.uniform(1, 4)
+                router.no_renewal_until = self._now + self._random.uniform(1, 4)
                 router.frozen = self._random.random() < 0.5
             case 2:
                 self._table = LeaseTable(self._now)
@@ -166,7 +179,7 @@
                 taken, self._state = self._state.snapshot(), self._state_class()
                 self._state.restore(taken)
 
-    def _ask(self):
+    def _start_call(self):
         router = self._random.choice(self._routers)
         if not router.lease.holds(self._now):
             return
@@ -176,7 +189,7 @@
         self._calls.append(Call(key, router, holder, router.lease.epoch))
         self._queue.append(Reserve(key, b"", holder, self._now))
 
-    def _resend(self):
+    def _duplicate_command(self):
         if self._queue:
             self._queue.append(self._random.choice(self._queue))
 
@@ -188,7 +201,9 @@
         command = self._queue.pop(index)
         result = self._apply(command)
         if isinstance(command, Reserve) and self._random.random() < 0.8:
-            self._reserved(command, self._abandoned(command, result))
+            self._handle_reserve_result(
+                command, self._abandon_if_expired(command, result)
+            )
 
     def _apply(self, command):
         result = RESULTS.decode(self._state.apply(COMMANDS.encode(command)))
@@ -199,7 +214,7 @@
         }
         return result
 
-    def _abandoned(self, command, result):
+    def _abandon_if_expired(self, command, result):
         """Ends a reservation whose router has no lease, as the leader does."""
         match result:
             case RecordFound(Record(holder=holder)) if (
@@ -213,7 +228,7 @@
                 )
         return result
 
-    def _reserved(self, command, result):
+    def _handle_reserve_result(self, command, result):
         waiting = [
             call
             for call in self._calls
@@ -225,42 +240,46 @@
                 case Reserved():
                     call.phase = "held"
                 case RecordFound(Record(status=RecordStatus.DONE) as record):
-                    self._tell(call, record.answer.decode())
+                    self._report_outcome(call, record.answer.decode())
                 case RecordFound(Record(status=RecordStatus.UNKNOWN)):
-                    self._tell(call, "unknown")
+                    self._report_outcome(call, "unknown")
                 case RecordFound(record) if record.holder == call.holder:
                     call.phase = "held"
                 case _:
-                    self._tell(call, "unknown")
-
-    def _tell(self, call, told):
-        call.phase, call.told = "closed", told
-        self.told[told if told in ("not_run", "unknown") else "answer"] += 1
-        if told not in ("not_run", "unknown"):
+                    self._report_outcome(call, "unknown")
+
+    def _report_outcome(self, call, outcome):
+        call.phase, call.outcome = "closed", outcome
+        self.outcomes[
+            outcome if outcome in ("not_run", "unknown") else "answer"
+        ] += 1
+        if outcome not in ("not_run", "unknown"):
             first = self._answers.get(call.key)
-            assert told == first, f"{call.key} got {told}, not {first}"
+            assert outcome == first, f"{call.key} got {outcome}, not {first}"
 
-    def _settle(self, call, told, status, answer=""):
-        self._tell(call, told)
+    def _settle(self, call, outcome, status, answer=""):
+        self._report_outcome(call, outcome)
         self._queue.append(
             Settle(call.key, call.holder, status, 200, "", answer.encode())
         )
 
-    def _send(self):
-        ready = [
+    def _send_call(self):
+        sendable = [
             call
             for call in self._calls
-            if call.phase in self._ready
-            and not (call.router.frozen and self._now < call.router.cut_until)
+            if call.phase in self._sendable_phases
+            and not (
+                call.router.frozen and self._now < call.router.no_renewal_until
+            )
         ]
-        if not ready:
+        if not sendable:
             return
-        call = self._random.choice(ready)
+        call = self._random.choice(sendable)
         lease = call.router.lease
-        entitled = lease.holds(self._now) and (
+        may_send = lease.holds(self._now) and (
             self._any_epoch or lease.epoch == call.epoch
         )
-        if not entitled or self._random.random() < 0.3:
+        if not may_send or self._random.random() < 0.3:
             self._settle(call, "not_run", None)  # Refused connection.
             return
         assert call.key not in self._unknown, f"{call.key} sent after unknown"
@@ -287,15 +306,15 @@
 
 
 def run_schedules(context, count, **doubles):
-    context.fault, context.told, context.runs = None, Counter(), 0
+    context.fault, context.outcomes, context.runs = None, Counter(), 0
     for seed in range(count):
-        schedule = OnceSchedule(seed, **doubles)
+        schedule = AtMostOnceSchedule(seed, **doubles)
         try:
             schedule.run()
         except AssertionError as exc:
             context.fault = f"seed {seed}: {exc}"
             return
-        context.told += schedule.told
+        context.outcomes += schedule.outcomes
         context.runs += schedule.runs.total()
 
 
@@ -313,12 +332,12 @@
 
 
 @then("every promise of at-most-once calls was kept")
-def promises_kept(context):
+def guarantees_held(context):
     assert context.fault is None, context.fault
 
 
 @then("a promise of at-most-once calls was broken")
-def promise_broken(context):
+def guarantee_violated(context):
     assert context.fault is not None
     print(context.fault)
 
@@ -326,7 +345,7 @@
 @then("at least {runs:d} calls ran and {unknown:d} outcomes were unknown")
 def enough_calls(context, runs, unknown):
     assert context.runs >= runs, context.runs
-    assert context.told["unknown"] >= unknown, context.told
+    assert context.outcomes["unknown"] >= unknown, context.outcomes
 
 
 # Retention and bounds.
@@ -394,15 +413,15 @@
     "a leader whose clock is {ahead:g} h ahead stamps the resend {hours:g} h "
     "later"
 )
-def stamped_resend(context, ahead, hours):
+def resend_with_timestamp(context, ahead, hours):
     since = ahead * HOUR_S
-    stamper = Stamper(context.state.last_stamp, since)
-    at = stamper.stamp(since + hours * HOUR_S)
+    timestamps = TimestampSource(context.state.last_stamp, since)
+    at = timestamps.timestamp(since + hours * HOUR_S)
     context.result = reserve(context, "key", at)
 
 
 @when("the resend is stamped with a clock that is {ahead:g} h ahead")
-def bare_stamp(context, ahead):
+def resend_with_bare_clock(context, ahead):
     context.result = reserve(context, "key", ahead * HOUR_S)
 
 
--- a/features/steps/command_line_steps.py
+++ b/features/steps/command_line_steps.py
@@ -86,9 +86,9 @@
         "{credential: 'x-credential-0123456789',"
         " members: [{name: 'member-1', host: '127.0.0.1', port: 1}]}"
     )
-    create = api.control.create_control
-    api.control.create_control = lambda *arguments: context.fake
-    context.add_cleanup(setattr, api.control, "create_control", create)
+    create = api.control.create_control_client
+    api.control.create_control_client = lambda *arguments: context.fake
+    context.add_cleanup(setattr, api.control, "create_control_client", create)
 
 
 def put_rules(context, base, text):
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -41,7 +41,9 @@
     """Submits a command; returns the reason it failed for, or its result."""
 
     async def run():
-        client = control.create_control(members, CREDENTIAL.encode(), Clock())
+        client = control.create_control_client(
+            members, CREDENTIAL.encode(), Clock()
+        )
         async with client:
             try:
                 return await client.submit(command, timeout_s)
@@ -58,7 +60,7 @@
 
 
 @given("a member that drops the first order and redirects all later ones")
-def dropping_member(context):
+def dropping_and_redirecting_member(context):
     context.orders = 0
 
 
@@ -80,7 +82,7 @@
                 *(links.serve, listener, CREDENTIAL.encode()),
                 *(control.CONTROL, handle, print),
             )
-            client = control.create_control(
+            client = control.create_control_client(
                 [address], CREDENTIAL.encode(), Clock()
             )
             async with client:
@@ -95,7 +97,7 @@
 
 
 @then("the order ends as {reason}")
-def order_ends(context, reason):
+def command_ends(context, reason):
     assert context.reason == reason, context.reason
 
 
@@ -174,7 +176,7 @@
     context.members = [control.MemberAddress(**m) for m in cluster.members]
 
     async def form():
-        client = control.create_control(
+        client = control.create_control_client(
             context.members, CREDENTIAL.encode(), Clock()
         )
         async with client:
@@ -220,13 +222,13 @@
 
 @given("a router that knows an active endpoint")
 def router_knows(context):
-    class NoScheduler:
+    class StubScheduler:
         def set_endpoints(self, endpoints, now):
             """Takes endpoints."""
 
     context.known = endpoint(1, kind=EndpointKind.SERVICE)
     context.endpoints = EndpointTable(
-        NoScheduler(), None, Clock(), None, {}, "seed"
+        StubScheduler(), None, Clock(), None, {}, "seed"
     )
     context.endpoints.update([state.EndpointEntry(context.known, 1)])
 
@@ -256,7 +258,7 @@
     ticket = Ticket("t", "c", "guide", Priority.GUEST, (), 10, 10, 9.0)
     dispatch = Dispatch(Attempt(1, ticket, endpoint(1)))
 
-    class OneDecision:
+    class SingleDecisionScheduler:
         def __init__(self):
             self.results = []
 
@@ -272,7 +274,7 @@
             """Keeps the end of an attempt."""
             self.results.append((attempt.number, result.cancelled))
 
-    context.ticket, context.scheduler = ticket, OneDecision()
+    context.ticket, context.scheduler = ticket, SingleDecisionScheduler()
 
 
 @when("its caller leaves at the moment of the decision")
@@ -319,17 +321,17 @@
                 *(control.CONTROL, lambda link, message: None),
             )
         except LinkError:
-            context.taken_s = anyio.current_time() - began_at
+            context.elapsed_s = anyio.current_time() - began_at
 
     anyio.run(run)
 
 
 @then("it ends as not connected within {limit:f} s")
 def not_connected(context, limit):
-    assert 0.1 <= context.taken_s <= limit, context.taken_s
+    assert 0.1 <= context.elapsed_s <= limit, context.elapsed_s
 
 
-class KeptMessages:
+class RecordingLink:
     """Keeps what is sent over a link."""
 
     def __init__(self):
@@ -341,7 +343,7 @@
 
 
 @given('a member that has not reached member "{name}" yet')
-def unreached(context, name):
+def unreached_peer(context, name):
     folder = tempfile.mkdtemp()
     context.add_cleanup(shutil.rmtree, folder)
     names = ("a", name)
@@ -359,15 +361,15 @@
 
 
 @when('member "{name}" opens a link and says who it is')
-def says_hello(context, name):
-    context.link = KeptMessages()
+def peer_opens_link(context, name):
+    context.link = RecordingLink()
     hello = control.Hello(name, "00")
     anyio.run(context.member._handle, context.link, hello)
 
 
 def send_to(context, name):
     reply = replica.VoteReply("00", 1, False, True)
-    context.member._send_peer(name, reply)
+    context.member._send_to_peer(name, reply)
     return len(context.link.sent)
 
 
@@ -378,7 +380,7 @@
 
 @when("that link closes")
 def link_closes(context):
-    context.member._on_closed(context.link)
+    context.member._on_link_closed(context.link)
     context.link.sent.clear()
 
 
--- a/features/steps/deployment_steps.py
+++ b/features/steps/deployment_steps.py
@@ -38,7 +38,9 @@
     members = [control.MemberAddress(**m) for m in cluster.members]
 
     async def run():
-        client = control.create_control(members, CREDENTIAL.encode(), Clock())
+        client = control.create_control_client(
+            members, CREDENTIAL.encode(), Clock()
+        )
         async with client:
             return await call(client)
 
--- a/features/steps/lease_schedule_steps.py
+++ b/features/steps/lease_schedule_steps.py
@@ -7,7 +7,13 @@
 import attrs
 from behave import given, then, when
 
-from knapweedarch.leases import GRANT_S, LEASE_S, RENEW_S, Lease, LeaseTable
+from knapweedarch.leases import (
+    GRANT_S,
+    LEASE_S,
+    RENEW_INTERVAL_S,
+    Lease,
+    LeaseTable,
+)
 from knapweedarch.models import Endpoint, EndpointKind, EndpointStatus
 from knapweedarch.state import (
     COMMANDS,
@@ -39,15 +45,15 @@
         super().__init__(leader_since - GRANT_S)
 
 
-class CommittedTable(LeaseTable):
+class CommitOnlyTable(LeaseTable):
     """A leader that answers as soon as the change is committed."""
 
     def in_force(self, index: int, now: float) -> bool:
         """Never waits for a router."""
-        return now >= self._settled_at
+        return now >= self._prior_grants_end
 
 
-class ShortTable(LeaseTable):
+class NoDriftMarginTable(LeaseTable):
     """A leader that leaves no room for the drift of clocks."""
 
     def grant(self, holder: str, applied: int, now: float) -> float:
@@ -55,7 +61,7 @@
         return super().grant(holder, applied, now - (GRANT_S - LEASE_S))
 
 
-class PatientTable(LeaseTable):
+class UnlimitedGrantTable(LeaseTable):
     """A leader that extends grants whatever the holder has applied."""
 
     def grant(self, holder: str, applied: int, now: float) -> float:
@@ -64,7 +70,7 @@
         return super().grant(holder, applied, now)
 
 
-class ReceiptLease(Lease):
+class ReceiptTimedLease(Lease):
     """A router that counts its lease from the receipt of the grant."""
 
     def granted(
@@ -74,7 +80,7 @@
         super().granted(now, duration_s, now)
 
 
-class OlderStateError(Exception):
+class StaleStateError(Exception):
     """A router started work under a state older than an answered change."""
 
 
@@ -85,14 +91,14 @@
     Attributes:
         rate: Rate of its clock.
         frozen_until: When it goes on, in true time.
-        cut_until: Until when its messages are lost, in true time.
-        deaf_until: Until when it does not hear answers, in true time.
+        partitioned_until: Until when its messages are lost, in true time.
+        replies_lost_until: Until when it does not hear answers, in true time.
     """
 
     rate: float
     frozen_until: float = 0.0
-    cut_until: float = 0.0
-    deaf_until: float = 0.0
+    partitioned_until: float = 0.0
+    replies_lost_until: float = 0.0
 
     def clock(self, now: float) -> float:
         """Returns its own clock."""
@@ -141,14 +147,14 @@
         # Extreme rates find more than middle ones.
         return 1 + self._random.choice((-1, 0, 1)) * MAX_RATE_ERROR
 
-    def _at(self, delay: float, step, *args) -> None:
+    def _schedule(self, delay: float, step, *args) -> None:
         item = (self._now + delay, next(self._order), step, args)
         heapq.heappush(self._events, item)
 
-    def _awake(self, process: Process, step, *args) -> bool:
+    def _defer_if_frozen(self, process: Process, step, *args) -> bool:
         """Puts the step off until the process is no longer frozen."""
         if self._now < process.frozen_until:
-            self._at(process.frozen_until - self._now, step, *args)
+            self._schedule(process.frozen_until - self._now, step, *args)
             return False
         return True
 
@@ -161,16 +167,18 @@
         """Runs the schedule.
 
         Raises:
-            OlderStateError: A promise was broken.
+            StaleStateError: A promise was broken.
         """
         self._elect()
         for router in self._routers:
-            self._at(self._random.uniform(0, RENEW_S), self._renew, router)
-            self._at(self._random.uniform(0, WORK_S), self._work, router)
+            self._schedule(
+                self._random.uniform(0, RENEW_INTERVAL_S), self._renew, router
+            )
+            self._schedule(self._random.uniform(0, WORK_S), self._work, router)
         for _ in range(5):
-            self._at(self._random.uniform(1, 10), self._fault)
+            self._schedule(self._random.uniform(1, 10), self._inject_fault)
         for _ in range(6):
-            self._at(self._random.uniform(1, 10), self._change)
+            self._schedule(self._random.uniform(1, 10), self._commit_change)
         while self._events and self._now < DURATION_S:
             self._now, _, step, args = heapq.heappop(self._events)
             step(*args)
@@ -180,69 +188,75 @@
         leader.table = self._table(leader.clock(self._now))
         self._leader = leader
 
-    def _fault(self) -> None:
+    def _inject_fault(self) -> None:
         until = self._now + self._random.uniform(0.3, 5.0)
         router = self._random.choice(self._routers)
         match self._random.randrange(5):
             case 0 if self._leader is not None:
                 # Crashed or frozen: its lease runs out before the next office.
                 self._leader = None
-                self._at(self._random.uniform(0.6, 1.8), self._elect)
+                self._schedule(self._random.uniform(0.6, 1.8), self._elect)
             case 1:
-                router.cut_until = until
+                router.partitioned_until = until
             case 2:
                 router.frozen_until = until
             case 3:
                 router.starts += 1
                 router.lease, router.applied = self._lease(), 0
             case 4:
-                router.deaf_until = until + 5.0
+                router.replies_lost_until = until + 5.0
 
     def _renew(self, router: FakeRouter) -> None:
-        if not self._awake(router, self._renew, router):
+        if not self._defer_if_frozen(router, self._renew, router):
             return
-        asked = (router.starts, router.clock(self._now), router.applied)
-        if self._now >= router.cut_until:
-            self._at(self._delay(), self._grant, router, asked)
-        self._at(RENEW_S, self._renew, router)
+        renewal = (router.starts, router.clock(self._now), router.applied)
+        if self._now >= router.partitioned_until:
+            self._schedule(self._delay(), self._grant, router, renewal)
+        self._schedule(RENEW_INTERVAL_S, self._renew, router)
 
-    def _grant(self, router: FakeRouter, asked: tuple) -> None:
+    def _grant(self, router: FakeRouter, renewal: tuple) -> None:
         leader = self._leader
         if leader is None:
             return
-        starts, _, applied = asked
+        starts, _, applied = renewal
         holder = f"{router.name}/{starts}"
         now = leader.clock(self._now)
         duration_s = leader.table.grant(holder, applied, now)
-        if self._now >= max(router.cut_until, router.deaf_until):
+        if self._now >= max(
+            router.partitioned_until, router.replies_lost_until
+        ):
             granted = (self._committed, duration_s)
-            self._at(self._delay(), self._take, router, asked, *granted)
+            self._schedule(
+                self._delay(), self._receive_grant, router, renewal, *granted
+            )
 
-    def _take(
-        self, router: FakeRouter, asked: tuple, index: int, duration_s: float
+    def _receive_grant(
+        self, router: FakeRouter, renewal: tuple, index: int, duration_s: float
     ) -> None:
-        if not self._awake(
-            router, self._take, router, asked, index, duration_s
+        if not self._defer_if_frozen(
+            router, self._receive_grant, router, renewal, index, duration_s
         ):
             return
-        starts, asked_at, _ = asked
+        starts, requested_at, _ = renewal
         if starts == router.starts:
             router.applied = max(router.applied, index)
             now = router.clock(self._now)
-            router.lease.granted(asked_at, duration_s, now)
+            router.lease.granted(requested_at, duration_s, now)
 
     def _work(self, router: FakeRouter) -> None:
-        if not self._awake(router, self._work, router):
+        if not self._defer_if_frozen(router, self._work, router):
             return
         holds = router.lease.holds(router.clock(self._now))
         if holds and router.applied < self._in_force:
-            raise OlderStateError(
+            raise StaleStateError(
                 f"{router.name} works under {router.applied} at "
                 f"{self._now:.3f} s, {self._in_force} is in force"
             )
-        self._at(WORK_S * self._random.uniform(0.3, 1), self._work, router)
+        self._schedule(
+            WORK_S * self._random.uniform(0.3, 1), self._work, router
+        )
 
-    def _change(self) -> None:
+    def _commit_change(self) -> None:
         if self._leader is None:
             return
         self._committed += 1
@@ -256,22 +270,22 @@
             self.answered += 1
             self.longest_s = max(self.longest_s, self._now - since)
             return
-        self._at(POLL_S, self._answer, leader, index, since)
+        self._schedule(POLL_S, self._answer, leader, index, since)
 
 
 LEASE_FAULTS = {
     "a new leader does not wait": {"table": NoWaitTable},
-    "the lease counts from receipt of the grant": {"lease": ReceiptLease},
+    "the lease counts from receipt of the grant": {"lease": ReceiptTimedLease},
     "a change is answered as soon as it is committed": {
-        "table": CommittedTable
+        "table": CommitOnlyTable
     },
-    "the leader counts 2.0 s for a slower clock": {"table": ShortTable},
+    "the leader counts 2.0 s for a slower clock": {"table": NoDriftMarginTable},
 }
 
 
 @when("up to {count:d} schedules run in which deaf routers get new leases")
-def run_patient_leases(context, count):
-    run_leases(context, count, table=PatientTable)
+def run_unlimited_grants(context, count):
+    run_leases(context, count, table=UnlimitedGrantTable)
 
 
 @then("an answer took longer than {limit:f} s under one leader")
@@ -298,7 +312,7 @@
         schedule = LeaseSchedule(seed, **doubles)
         try:
             schedule.run()
-        except OlderStateError as exc:
+        except StaleStateError as exc:
             raise AssertionError(exc) from exc
         context.answered += schedule.answered
         context.longest_s = max(context.longest_s, schedule.longest_s)
@@ -322,7 +336,7 @@
 @then("no router started work under an older state")
 @then("no endpoint came back without an operator")
 @then("their results and final states are equal")
-def nothing_found(context):
+def no_fault_found(context):
     assert context.fault is None, context.fault
 
 
@@ -330,7 +344,7 @@
 @then("a promise to the operators was broken")
 @then("an endpoint came back without an operator")
 @then("some results or final states differ")
-def something_found(context):
+def fault_found(context):
     assert context.fault is not None
     print(context.fault)
 
@@ -349,7 +363,7 @@
 # Operators and the rule file.
 
 
-class UncheckedBase(ControlState):
+class UncheckedBaseState(ControlState):
     """Accepts a file whatever version it is based on."""
 
     def _put_rules(self, command):
@@ -358,7 +372,7 @@
         return RulesAccepted(self.rules_version)
 
 
-class ForgetfulState(ControlState):
+class NoStoredAnswersState(ControlState):
     """Stores no answers."""
 
     def apply(self, data: bytes) -> bytes:
@@ -368,8 +382,8 @@
 
 
 RULE_FAULTS = {
-    "the base version is not checked": UncheckedBase,
-    "answers are not stored": ForgetfulState,
+    "the base version is not checked": UncheckedBaseState,
+    "answers are not stored": NoStoredAnswersState,
 }
 
 
@@ -415,8 +429,8 @@
 @then("each base version has exactly one accepted file")
 @then("each resend got the first answer")
 @then("no version of the rules was followed by an older text")
-def race_held(context):
-    nothing_found(context)
+def race_guarantees_held(context):
+    no_fault_found(context)
 
 
 @given("rule files 1 and 2 were accepted")
@@ -449,7 +463,7 @@
 # Endpoints.
 
 
-class UnmarkedRetirement(ControlState):
+class UnmarkedRetirementState(ControlState):
     """Retires an endpoint without remembering that an operator did."""
 
     def _put_endpoint(self, endpoint, retired, superseded):
@@ -466,7 +480,7 @@
 def retire_schedule(seed, state_class=ControlState):
     """Endpoints restart and announce, also late; operators retire them."""
     rng, state = random.Random(seed), state_class()
-    starts, retired, past = {"e1": 0, "e2": 0}, set(), []
+    starts, retired, sent_announcements = {"e1": 0, "e2": 0}, set(), []
     for n in range(40):
         name = rng.choice(sorted(starts))
         match rng.randrange(5):
@@ -481,16 +495,18 @@
                 apply(state, Announce(endpoint, True, f"order {n}"))
                 retired.discard(name)
             case _:
-                if past and rng.random() < 0.3:
-                    announced = rng.choice(past)
+                if sent_announcements and rng.random() < 0.3:
+                    announced = rng.choice(sent_announcements)
                 else:
                     endpoint = endpoint_announced(name, starts[name])
                     announced = Announce(endpoint)
-                    past.append(announced)
+                    sent_announcements.append(announced)
                 apply(state, announced)
-        for back in retired:
-            status = state.endpoints[back].endpoint.status
-            assert status is EndpointStatus.LEAVING, f"{back} at step {n}"
+        for retired_name in retired:
+            status = state.endpoints[retired_name].endpoint.status
+            assert status is EndpointStatus.LEAVING, (
+                f"{retired_name} at step {n}"
+            )
 
 
 @when("{count:d} schedules of announcements, restarts and retirements run")
@@ -503,13 +519,15 @@
     "not kept"
 )
 def run_faulty_retirements(context, count):
-    run_seeds(context, count, lambda s: retire_schedule(s, UnmarkedRetirement))
+    run_seeds(
+        context, count, lambda s: retire_schedule(s, UnmarkedRetirementState)
+    )
 
 
 # Snapshots.
 
 
-class AnswerlessSnapshot(ControlState):
+class AnswerlessSnapshotState(ControlState):
     """Leaves the stored answers out of its snapshots."""
 
     def restore(self, data: bytes) -> None:
@@ -561,4 +579,6 @@
     "up to {count:d} command sequences run in which snapshots lack the answers"
 )
 def run_faulty_snapshots(context, count):
-    run_seeds(context, count, lambda s: snapshot_run(s, AnswerlessSnapshot))
+    run_seeds(
+        context, count, lambda s: snapshot_run(s, AnswerlessSnapshotState)
+    )
--- a/knapweedarch/api.py
+++ b/knapweedarch/api.py
@@ -213,13 +213,13 @@
 
 def _talk(
     settings: Settings,
-    action: Callable[[control.Control], Awaitable[object]],
+    action: Callable[[control.ControlClient], Awaitable[object]],
 ):
     return anyio.run(_talk_async, settings, action)
 
 
 async def _talk_async(settings, action):
-    client = control.create_control(
+    client = control.create_control_client(
         settings.members, settings.credential.encode(), Clock()
     )
     failure = None
--- a/knapweedarch/control.py
+++ b/knapweedarch/control.py
@@ -44,7 +44,7 @@
 __all__ = [
     "CONTROL",
     "Changed",
-    "Control",
+    "ControlClient",
     "DeploymentDocument",
     "Describe",
     "Description",
@@ -70,15 +70,15 @@
     "Result",
     "StatusReply",
     "Submit",
-    "create_control",
+    "create_control_client",
 ]
 
-RETRY_S = 0.05
-RETRY_LIMIT_S = 0.1
-REPLY_S = 1.0
+RETRY_DELAY_S = 0.05
+MAX_RETRY_DELAY_S = 0.1
+REPLY_TIMEOUT_S = 1.0
 
 
-class Control(TaskOwner):
+class ControlClient(TaskOwner):
     """Talks to the leader, finding it anew whenever it changes.
 
     Use it as an asynchronous context manager; it keeps one link.
@@ -99,9 +99,9 @@
         self._on_changed = on_changed
         self._link: links.Link | None = None
         self._leader = ""
-        self._order = sorted(self._members)
+        self._connect_order = sorted(self._members)
         # Routers that restart together must not all try the same member.
-        random.Random().shuffle(self._order)
+        random.Random().shuffle(self._connect_order)
         self._connecting = anyio.Lock()
 
     def set_members(self, members: Sequence[MemberAddress]) -> None:
@@ -109,8 +109,12 @@
         if not members or list(members) == list(self._members.values()):
             return
         self._members = {m.name: m for m in members}
-        self._order = [n for n in self._order if n in self._members]
-        self._order += [n for n in self._members if n not in self._order]
+        self._connect_order = [
+            n for n in self._connect_order if n in self._members
+        ]
+        self._connect_order += [
+            n for n in self._members if n not in self._connect_order
+        ]
 
     def add_members(self, members: Sequence[MemberAddress]) -> None:
         """Adds addresses to ask, such as new seeds."""
@@ -118,7 +122,7 @@
         for member in members:
             if (member.host, member.port) not in known:
                 self._members[member.name] = member
-                self._order.append(member.name)
+                self._connect_order.append(member.name)
 
     async def submit(
         self, command: object, timeout_s: float, in_force: bool = True
@@ -156,50 +160,50 @@
             ControlError: See `submit`.
         """
         until = self._clock.now() + timeout_s
-        unanswered = False
-        pause = RETRY_S
-        while (left := until - self._clock.now()) > 0:
+        outcome_unknown = False
+        delay_s = RETRY_DELAY_S
+        while (remaining_s := until - self._clock.now()) > 0:
             try:
                 link = await self._connect()
             except LinkError:
-                await self._pause(pause, until)
-                pause = min(pause * 2, RETRY_LIMIT_S)
+                await self._sleep(delay_s, until)
+                delay_s = min(delay_s * 2, MAX_RETRY_DELAY_S)
                 continue
             try:
-                reply = await link.call(message, left)
+                reply = await link.call(message, remaining_s)
             except LinkError:
                 # Never taken back: a later member that has done nothing does
                 # not tell what became of the message sent before.
-                unanswered = True
-                self.drop_link()
+                outcome_unknown = True
+                self.close_link()
             else:
                 match reply:
                     case Redirect():
-                        self._follow(reply)
+                        self._follow_redirect(reply)
                     case Refused(reason="unknown_outcome"):
                         # The next leader knows what became of it.
-                        unanswered = True
+                        outcome_unknown = True
                     case Refused(reason=reason, message=text):
                         raise ControlError(reason, text)
                     case _:
                         return reply
-            await self._pause(pause, until)
-            pause = min(pause * 2, RETRY_LIMIT_S)
-        reason = "unknown_outcome" if unanswered else "unreachable"
+            await self._sleep(delay_s, until)
+            delay_s = min(delay_s * 2, MAX_RETRY_DELAY_S)
+        reason = "unknown_outcome" if outcome_unknown else "unreachable"
         raise ControlError(reason, "no control member answered in time")
 
-    async def _pause(self, pause_s: float, until: float) -> None:
-        await anyio.sleep(min(pause_s, max(until - self._clock.now(), 0)))
+    async def _sleep(self, delay_s: float, until: float) -> None:
+        await anyio.sleep(min(delay_s, max(until - self._clock.now(), 0)))
 
-    def _follow(self, redirect: Redirect) -> None:
-        self.drop_link()
+    def _follow_redirect(self, redirect: Redirect) -> None:
+        self.close_link()
         if redirect.address is not None:
             # A known address stands: it may lead through a relay.
             self._members.setdefault(redirect.leader, redirect.address)
         if redirect.leader in self._members:
             self._leader = redirect.leader
 
-    def drop_link(self) -> None:
+    def close_link(self) -> None:
         """Closes the link; the next message opens a fresh one."""
         if self._link is not None:
             self._link.close()
@@ -210,10 +214,10 @@
         async with self._connecting:
             if self._link is not None and not self._link.closed.is_set():
                 return self._link
-            name = self._leader or self._order[0]
+            name = self._leader or self._connect_order[0]
             self._leader = ""
-            if name == self._order[0]:
-                self._order.append(self._order.pop(0))
+            if name == self._connect_order[0]:
+                self._connect_order.append(self._connect_order.pop(0))
             self._link = await self._open(self._members[name])
             self._group.start_soon(self._link.run)
             return self._link
@@ -234,13 +238,13 @@
             case LoadTotals():
                 self._on_loads(message)
 
-    def tell(self, message: object) -> None:
+    def send_one_way(self, message: object) -> None:
         """Sends a message without a reply, if a link is open now."""
         if self._link is not None and not self._link.closed.is_set():
             try:
                 self._link.send(message)
             except LinkError:
-                self.drop_link()
+                self.close_link()
 
     async def form(self, members: Sequence[MemberAddress]) -> None:
         """Makes blank members the first group.
@@ -248,41 +252,42 @@
         Raises:
             ControlError: A member is not blank or does not answer.
         """
-        described = [await self._describe(member) for member in members]
+        descriptions = [await self._describe(member) for member in members]
         group = Form(
             tuple(
                 FormMember(d.name, d.identity, m.host, m.port)
-                for m, d in zip(members, described, strict=True)
+                for m, d in zip(members, descriptions, strict=True)
             )
         )
-        if not any(found.blank for found in described):
+        if not any(description.blank for description in descriptions):
             raise ControlError("refused", "the members are already formed")
         # A member that is not blank goes first: it agrees only if an earlier
         # try formed exactly this group, and else no other member is changed.
         by_blank = sorted(
-            zip(members, described, strict=True), key=lambda pair: pair[1].blank
+            zip(members, descriptions, strict=True),
+            key=lambda pair: pair[1].blank,
         )
         for member, _ in by_blank:
-            match await self._ask_one(member, group):
+            match await self._ask_member(member, group):
                 case Refused(message=text):
                     raise ControlError("refused", text)
 
     async def _describe(self, member: MemberAddress) -> Description:
-        found = await self._ask_one(member, Describe())
-        if member.name and found.name != member.name:
+        description = await self._ask_member(member, Describe())
+        if member.name and description.name != member.name:
             raise ControlError(
                 "refused",
-                f"{member.host}:{member.port} is member {found.name}, "
+                f"{member.host}:{member.port} is member {description.name}, "
                 f"not {member.name}",
             )
-        return found
+        return description
 
-    async def _ask_one(self, member: MemberAddress, message: object):
+    async def _ask_member(self, member: MemberAddress, message: object):
         try:
             link = await self._open(member)
             self._group.start_soon(link.run)
             try:
-                return await link.call(message, REPLY_S * 3)
+                return await link.call(message, REPLY_TIMEOUT_S * 3)
             finally:
                 link.close()
         except LinkError as exc:
@@ -291,13 +296,13 @@
             ) from exc
 
 
-def create_control(
+def create_control_client(
     members: Sequence[MemberAddress],
     credential: bytes,
     clock: Clock,
     on_changed: Callable[[], None] = lambda: None,
     on_loads: Callable[[LoadTotals], None] = lambda totals: None,
-) -> Control:
+) -> ControlClient:
     """Creates a client to the control members.
 
     Args:
@@ -307,4 +312,4 @@
         on_changed: Called when the leader tells of a change.
         on_loads: Called when the leader tells the load by other routers.
     """
-    return Control(members, credential, clock, on_changed, on_loads)
+    return ControlClient(members, credential, clock, on_changed, on_loads)
--- a/knapweedarch/endpoint_registry.py
+++ b/knapweedarch/endpoint_registry.py
@@ -17,7 +17,7 @@
     Announce,
     ChangeStatus,
     ControlState,
-    still_loads,
+    is_still_loading,
 )
 from knapweedarch.timers import Clock
 
@@ -172,7 +172,7 @@
     if known.incarnation != told.incarnation:
         return False
     leaves = known.status is EndpointStatus.LEAVING
-    return known == told or leaves or still_loads(known, told)
+    return known == told or leaves or is_still_loading(known, told)
 
 
 def _log_status(
--- a/knapweedarch/leader.py
+++ b/knapweedarch/leader.py
@@ -33,15 +33,15 @@
     Retire,
     RulesAccepted,
     RulesConflict,
-    Stamper,
     TakeOrders,
+    TimestampSource,
     WeightsNamed,
 )
 from knapweedarch.timers import Clock, run_steps
 
-IN_FORCE_LIMIT_S = 10.0
-ANSWER_LIMIT_S = 10.0
-MAX_TOLD_FAULTS = 5
+IN_FORCE_TIMEOUT_S = 10.0
+PROPOSAL_TIMEOUT_S = 10.0
+MAX_REPORTED_FAULTS = 5
 
 
 @attrs.define
@@ -80,18 +80,18 @@
         self._state = state
         self._clock = clock
         self._wake = wake
-        self._table: LeaseTable | None = None
-        self._table_term = 0
-        self._stamper: Stamper | None = None
+        self._leases: LeaseTable | None = None
+        self._active_term = 0
+        self._timestamps: TimestampSource | None = None
         self._proposals: dict[int, _Proposal] = {}
         self._routers: dict[links.Link, control.Renew] = {}
         self._renewed = anyio.Event()
         self._loads = LoadBoard()
 
     @property
-    def in_office(self) -> bool:
+    def is_active(self) -> bool:
         """Whether this member has the duties of the leader."""
-        return self._table is not None
+        return self._leases is not None
 
     @property
     def idle(self) -> bool:
@@ -100,14 +100,14 @@
 
     def router_count(self, now: float) -> int:
         """Counts the routers with a running lease."""
-        return self._table.count(now) if self._table is not None else 0
+        return self._leases.count(now) if self._leases is not None else 0
 
     def forget_link(self, link: links.Link) -> None:
         """Notes that a link has closed."""
         self._routers.pop(link, None)
         self._loads.forget(link)
 
-    def note_loads(self, link: links.Link, share: control.LoadShare) -> None:
+    def record_loads(self, link: links.Link, share: control.LoadShare) -> None:
         """Notes the load that a router causes."""
         self._loads.note(link, share)
 
@@ -115,9 +115,9 @@
         """Counts the requests of all routers at an endpoint."""
         return self._loads.requests_at(endpoint_id)
 
-    def share_loads(self) -> None:
+    def publish_loads(self) -> None:
         """Tells each router the load that the others cause."""
-        if not self.in_office:
+        if not self.is_active:
             return
         for link in self._loads.routers():
             try:
@@ -130,19 +130,19 @@
         self.applied, self._applied_term = entry.index, entry.term
         result = None
         if entry.kind is replica.EntryKind.DATA:
-            before = self._shown_to_routers()
+            before = self._router_visible_versions()
             result = self._state.apply(entry.data)
             if self._state.revision != before[1]:
                 self.endpoints.note_loading()
-            if before != self._shown_to_routers():
-                self._tell_routers()
+            if before != self._router_visible_versions():
+                self._notify_routers()
         proposal = self._proposals.pop(entry.index, None)
         if proposal is not None:
             if proposal.term == entry.term:
                 proposal.result = result
             proposal.done.set()
 
-    def _shown_to_routers(self) -> tuple[int, int, int, int]:
+    def _router_visible_versions(self) -> tuple[int, int, int, int]:
         state = self._state
         return (
             *(state.rules_version, state.revision),
@@ -150,30 +150,30 @@
             sum(state.weights.values()),
         )
 
-    def _tell_routers(self) -> None:
+    def _notify_routers(self) -> None:
         for link in list(self._routers):
             try:
                 link.send(control.Changed(self.applied))
             except LinkError:
                 self._routers.pop(link, None)
 
-    def follow_role(self) -> None:
+    def update_role(self) -> None:
         """Starts and ends the leader's duties."""
-        leads = self._replica.leader_since is not None
-        if leads and self._table_term != self._replica.term:
-            self._table = LeaseTable(self._replica.leader_since, self._lease_s)
+        is_leader = self._replica.leader_since is not None
+        if is_leader and self._active_term != self._replica.term:
+            self._leases = LeaseTable(self._replica.leader_since, self._lease_s)
             self.endpoints.start_term(self._replica.leader_since)
-            self._table_term = self._replica.term
-            self._stamper = None
+            self._active_term = self._replica.term
+            self._timestamps = None
             log("leader_started", term=self._replica.term)
-        if not leads and self._table is not None:
-            self._table, self._table_term = None, 0
+        if not is_leader and self._leases is not None:
+            self._leases, self._active_term = None, 0
             log("leader_stopped", term=self._replica.term)
             for proposal in self._proposals.values():
                 proposal.done.set()
             self._proposals.clear()
 
-    def _leading(self) -> bool:
+    def _can_serve(self) -> bool:
         """Tells whether this member may answer for the system now.
 
         A new leader knows all committed entries only once one of its own term
@@ -181,7 +181,7 @@
         """
         now = self._clock.now()
         return (
-            self._table is not None
+            self._leases is not None
             and self._replica.leads_until(now) > now
             and self._applied_term == self._replica.term
         )
@@ -204,10 +204,10 @@
         self, link: links.Link, renew: control.Renew
     ) -> control.Grant | control.Redirect:
         """Grants a lease and sends what the router lacks."""
-        if not self._leading():
+        if not self._can_serve():
             return self._redirect()
         now = self._clock.now()
-        duration_s = self._table.grant(renew.incarnation, renew.applied, now)
+        duration_s = self._leases.grant(renew.incarnation, renew.applied, now)
         self._routers[link] = renew
         self._renewed.set()
         self._renewed = anyio.Event()
@@ -222,7 +222,7 @@
             text,
             state.revision,
             state.changes_since(renew.revision),
-            self._table.count(now),
+            self._leases.count(now),
             self._deployment_for(renew),
             self.addresses(),
             dict(state.weights),
@@ -238,7 +238,7 @@
         self,
     ) -> control.DeploymentDocument | control.Redirect:
         """Returns the routing configuration in force."""
-        if not self._leading():
+        if not self._can_serve():
             return self._redirect()
         deployment = self._state.deployment
         return control.DeploymentDocument(
@@ -249,7 +249,7 @@
         self, message: control.Heartbeat
     ) -> control.HeartbeatNoted | control.Refused | control.Redirect:
         """Notes a heartbeat and stores what it changes."""
-        if not self._leading():
+        if not self._can_serve():
             return self._redirect()
         try:
             return await self.endpoints.note(message)
@@ -258,14 +258,14 @@
 
     async def drop_silent(self) -> None:
         """Takes endpoints out of use that were not heard for too long."""
-        if self._leading():
+        if self._can_serve():
             await self.endpoints.drop_silent()
 
-    def note_joining(
+    def register_joining(
         self, join: control.Join
     ) -> control.Joining | control.Redirect:
         """Notes a member that wants to be in the group."""
-        if not self._leading():
+        if not self._can_serve():
             return self._redirect()
         self._replica.note_peer(join.name, join.identity, join.host, join.port)
         return control.Joining(self.addresses())
@@ -274,13 +274,13 @@
         self, data: bytes, in_force: bool = True
     ) -> control.Result | control.Refused | control.Redirect:
         """Commits a command; waits until it is in force if it must be."""
-        if not self._leading():
+        if not self._can_serve():
             return self._redirect()
         command = COMMANDS.decode(data)
-        if (refusal := await self._refusal(command)) is not None:
-            return refusal
+        if (early_reply := await self._early_reply(command)) is not None:
+            return early_reply
         try:
-            result = await self._propose(self._stamped(command))
+            result = await self._propose(self._with_timestamp(command))
         except ReplicaError:
             # Nothing was appended, so the order may go to another member.
             return self._redirect()
@@ -288,16 +288,16 @@
             return control.Refused(
                 "unknown_outcome", "the leader changed before the commit"
             )
-        _log_order(command, result)
-        result = await self._check_holder(command, result)
-        needs_force = in_force and self._needs_force(command, result)
-        if needs_force and not await self._in_force():
+        _log_command(command, result)
+        result = await self._resolve_reservation(command, result)
+        must_wait = in_force and self._must_be_in_force(command, result)
+        if must_wait and not await self._wait_until_in_force():
             return control.Refused(
                 "unknown_outcome", "the change is not in force everywhere yet"
             )
         return control.Result(RESULTS.encode(result))
 
-    async def _refusal(
+    async def _early_reply(
         self, command: object
     ) -> control.Refused | control.Result | None:
         """Returns the answer to a command that must not enter the log."""
@@ -307,30 +307,30 @@
                     await run_steps(parse_steps(text))
                 except RuleError as exc:
                     # Once committed, a faulty file would stop every router.
-                    reason = "; ".join(exc.faults[:MAX_TOLD_FAULTS])
+                    reason = "; ".join(exc.faults[:MAX_REPORTED_FAULTS])
                     return control.Refused("refused", reason)
-            case TakeOrders() if self._orders_are_held(command):
+            case TakeOrders() if self._orders_held_by_other(command):
                 return control.Result(RESULTS.encode(OrdersHeld()))
         return None
 
-    def _stamped(self, command: object) -> object:
+    def _with_timestamp(self, command: object) -> object:
         if isinstance(command, Reserve):
-            return attrs.evolve(command, at=self._stamp())
+            return attrs.evolve(command, at=self._next_timestamp())
         return command
 
-    def _orders_are_held(self, command: TakeOrders) -> bool:
+    def _orders_held_by_other(self, command: TakeOrders) -> bool:
         """Tells whether another router may still give orders to endpoints."""
         holder = self._state.orders_holder
-        return holder not in ("", command.holder) and self._table.holds(
+        return holder not in ("", command.holder) and self._leases.holds(
             holder, self._clock.now()
         )
 
-    def _stamp(self) -> float:
-        if self._stamper is None:
-            self._stamper = Stamper(
+    def _next_timestamp(self) -> float:
+        if self._timestamps is None:
+            self._timestamps = TimestampSource(
                 self._state.last_stamp, self._replica.leader_since
             )
-        return self._stamper.stamp(self._clock.now())
+        return self._timestamps.timestamp(self._clock.now())
 
     async def _propose(self, command: object) -> object | None:
         """Commits a command; returns None if the outcome is not known.
@@ -344,13 +344,15 @@
         proposal = _Proposal(self._replica.term)
         self._proposals[index] = proposal
         self._wake()
-        with anyio.move_on_after(ANSWER_LIMIT_S):
+        with anyio.move_on_after(PROPOSAL_TIMEOUT_S):
             await proposal.done.wait()
         if proposal.result is None:
             return None
         return RESULTS.decode(proposal.result)
 
-    async def _check_holder(self, command: object, result: object) -> object:
+    async def _resolve_reservation(
+        self, command: object, result: object
+    ) -> object:
         """Ends a reservation whose router can send no more.
 
         The holder checks its lease right before it sends. Once the lease is
@@ -361,7 +363,7 @@
                 record.status is RecordStatus.RESERVED
             ):
                 incarnation = record.holder.partition("/")[0]
-                if self._table is None or self._table.holds(
+                if self._leases is None or self._leases.holds(
                     incarnation, self._clock.now()
                 ):
                     return result
@@ -371,7 +373,7 @@
                 return RecordFound(found) if found else result
         return result
 
-    def _needs_force(self, command: object, result: object) -> bool:
+    def _must_be_in_force(self, command: object, result: object) -> bool:
         match command, result:
             case PutRules(), RulesAccepted():
                 return True
@@ -381,28 +383,28 @@
                 return True
         return False
 
-    async def _in_force(self) -> bool:
+    async def _wait_until_in_force(self) -> bool:
         """Waits until each router has applied the log up to now."""
         index, term = self.applied, self._replica.term
-        with anyio.move_on_after(IN_FORCE_LIMIT_S):
-            while self._leading() and self._replica.term == term:
+        with anyio.move_on_after(IN_FORCE_TIMEOUT_S):
+            while self._can_serve() and self._replica.term == term:
                 now = self._clock.now()
-                if self._table.in_force(index, now):
+                if self._leases.in_force(index, now):
                     return True
-                delay = self._table.next_change(now) - now
+                delay = self._leases.next_expiry(now) - now
                 with anyio.move_on_after(max(delay, 0.001)):
                     await self._renewed.wait()
         return False
 
     def status(self) -> control.StatusReply | control.Redirect:
         """Returns the status of the system."""
-        if not self._leading():
+        if not self._can_serve():
             return self._redirect()
         now = self._clock.now()
         names = {
             renew.router
             for renew in self._routers.values()
-            if self._table.holds(renew.incarnation, now)
+            if self._leases.holds(renew.incarnation, now)
         }
         return control.StatusReply(
             leader=self._name,
@@ -421,7 +423,7 @@
         )
 
 
-def _log_order(command: object, result: object) -> None:
+def _log_command(command: object, result: object) -> None:
     """Logs operators' orders; a resend is logged again."""
     match command, result:
         case PutRules(request_id=request), RulesAccepted(version=version):
--- a/knapweedarch/lease_keeper.py
+++ b/knapweedarch/lease_keeper.py
@@ -5,21 +5,21 @@
 
 import anyio
 
-from knapweedarch.control import Control, Grant, MemberAddress, Renew
+from knapweedarch.control import ControlClient, Grant, MemberAddress, Renew
 from knapweedarch.deployments import Deployment
 from knapweedarch.exceptions import ControlError
-from knapweedarch.leases import RENEW_S, Lease
+from knapweedarch.leases import RENEW_INTERVAL_S, Lease
 from knapweedarch.logs import log
 from knapweedarch.metrics import Metrics
 from knapweedarch.state import EndpointEntry
 from knapweedarch.timers import Clock, Timers
 
 RENEW_TIMEOUT_S = 1.0
-WATCH_S = 0.2
+EXPIRY_CHECK_INTERVAL_S = 0.2
 
 
 class LeaseKeeper:
-    """Renews the lease each `RENEW_S`, and at once when something changed.
+    """Renews the lease each `RENEW_INTERVAL_S` and when something changed.
 
     Attributes:
         lease: The lease.
@@ -39,7 +39,7 @@
         self,
         name: str,
         incarnation: str,
-        control: Control,
+        control: ControlClient,
         clock: Clock,
         metrics: Metrics,
     ):
@@ -65,24 +65,24 @@
         self._revision = 0
         self._applied = 0
         self._routers = 0
-        self._held = False
-        self._due = anyio.Event()
+        self._was_held = False
+        self._renewal_due = anyio.Event()
 
     def subscribe(self, timers: Timers) -> None:
         """Subscribes to the timers."""
         # Routers that restart together would otherwise renew in step for good.
-        period = RENEW_S * self._random.uniform(0.8, 1.0)
+        period = RENEW_INTERVAL_S * self._random.uniform(0.8, 1.0)
         timers.every(period, lambda now: self.renew_soon())
-        timers.every(WATCH_S, self._watch)
+        timers.every(EXPIRY_CHECK_INTERVAL_S, self._check_expiry)
 
     def renew_soon(self) -> None:
         """Renews as soon as the running renewal has ended."""
-        self._due.set()
+        self._renewal_due.set()
 
     async def run(self) -> None:
         """Renews until cancelled."""
         while True:
-            self._due = anyio.Event()
+            self._renewal_due = anyio.Event()
             try:
                 changed = await self._renew()
             except ControlError as exc:
@@ -92,7 +92,7 @@
                 continue
             # The leader waits to hear that a change is applied here.
             if not changed:
-                await self._due.wait()
+                await self._renewal_due.wait()
 
     async def _renew(self) -> bool:
         """Renews the lease; tells whether the grant brought changes."""
@@ -112,13 +112,13 @@
             # Only a group that lost its log answers so; its state is older.
             log("grant_older", applied=self._applied, granted=grant.applied)
             return False
-        changed = await self._take(grant)
+        changed = await self._apply_grant(grant)
         self.lease.granted(sent_at, grant.duration_s, self._clock.now())
         self._metrics.count("lease.renewed")
         self.on_granted()
         return changed
 
-    async def _take(self, grant: Grant) -> bool:
+    async def _apply_grant(self, grant: Grant) -> bool:
         if grant.rules_text is not None:
             await self.on_rules(grant.rules_version, grant.rules_text)
             self.rules_version = grant.rules_version
@@ -140,11 +140,11 @@
             grant.rules_text is not None or grant.endpoints or grant.deployment
         )
 
-    def _watch(self, now: float) -> None:
+    def _check_expiry(self, now: float) -> None:
         held = self.lease.holds(now)
-        if held == self._held:
+        if held == self._was_held:
             return
-        self._held = held
+        self._was_held = held
         if held:
             log("lease_granted")
         else:
--- a/knapweedarch/leases.py
+++ b/knapweedarch/leases.py
@@ -9,7 +9,7 @@
 import attrs
 
 LEASE_S = 2.0
-RENEW_S = 0.5
+RENEW_INTERVAL_S = 0.5
 MAX_CLOCK_DRIFT = 0.05
 GRANT_S = LEASE_S * (1 + MAX_CLOCK_DRIFT)
 
@@ -31,7 +31,7 @@
     def __init__(self, leader_since: float, lease_s: float = LEASE_S):
         self._lease_s = lease_s
         self._grant_s = lease_s * (1 + MAX_CLOCK_DRIFT)
-        self._settled_at = leader_since + self._grant_s
+        self._prior_grants_end = leader_since + self._grant_s
         self._grants: dict[str, _Grant] = {}
         self._waiting_since: dict[int, float] = {}
         self._in_force = 0
@@ -46,12 +46,14 @@
         Returns:
             Duration of the lease in seconds, at most `lease_s`.
         """
-        known = self._grants.get(holder)
-        applied = max(applied, known.applied if known else 0)
-        since = [t for i, t in self._waiting_since.items() if applied < i]
-        until = min([now, *since]) + self._grant_s
-        noted = max(until, known.until if known else until)
-        self._grants[holder] = _Grant(noted, applied)
+        current = self._grants.get(holder)
+        applied = max(applied, current.applied if current else 0)
+        waiting_times = [
+            t for i, t in self._waiting_since.items() if applied < i
+        ]
+        until = min([now, *waiting_times]) + self._grant_s
+        expires_at = max(until, current.until if current else until)
+        self._grants[holder] = _Grant(expires_at, applied)
         return max(0.0, until - now) * (self._lease_s / self._grant_s)
 
     def holds(self, holder: str, now: float) -> bool:
@@ -60,10 +62,10 @@
         A new leader knows no grants of its predecessor and takes every router
         for a holder until they must have run out.
         """
-        if now < self._settled_at:
+        if now < self._prior_grants_end:
             return True
-        known = self._grants.get(holder)
-        return known is not None and now < known.until
+        current = self._grants.get(holder)
+        return current is not None and now < current.until
 
     def in_force(self, index: int, now: float) -> bool:
         """Tells whether each router has applied `index` or has no lease.
@@ -74,7 +76,7 @@
         if index <= self._in_force:
             return True
         self._waiting_since.setdefault(index, now)
-        if now < self._settled_at or self.waiting_for(index, now):
+        if now < self._prior_grants_end or self.waiting_for(index, now):
             return False
         for done in [i for i in self._waiting_since if i <= index]:
             del self._waiting_since[done]
@@ -88,11 +90,11 @@
             del self._grants[holder]
         return [h for h, g in self._grants.items() if g.applied < index]
 
-    def next_change(self, now: float) -> float:
+    def next_expiry(self, now: float) -> float:
         """Returns when `in_force` may change by time alone, in seconds."""
         times = [g.until for g in self._grants.values() if g.until > now]
-        if now < self._settled_at:
-            times.append(self._settled_at)
+        if now < self._prior_grants_end:
+            times.append(self._prior_grants_end)
         return min(times, default=now + self._grant_s)
 
     def count(self, now: float) -> int:
--- a/knapweedarch/member.py
+++ b/knapweedarch/member.py
@@ -25,14 +25,14 @@
 from knapweedarch.timers import Clock, Timers
 
 TICK_S = 0.04
-REPORT_S = 1.0
-RECONNECT_S = 0.1
-HAND_OVER_S = 1.0
-JOIN_S = 0.25
+METRICS_INTERVAL_S = 1.0
+RECONNECT_DELAY_S = 0.1
+HAND_OVER_TIMEOUT_S = 1.0
+JOIN_INTERVAL_S = 0.25
 JOIN_TIMEOUT_S = 1.0
-SILENCE_CHECK_S = 0.5
-LOADS_S = 0.1
-ROOM_CHECK_S = 0.5
+SILENCE_CHECK_INTERVAL_S = 0.5
+LOADS_INTERVAL_S = 0.1
+DISK_SPACE_RETRY_S = 0.5
 
 
 class Member:
@@ -52,10 +52,10 @@
         self._credential = settings.credential.encode()
         self._journal = open_journal(str(settings.data_folder))
         self._state = ControlState()
-        self._open()
+        self._load_journal()
         self._peers: dict[str, links.Link] = {}
         self._peer_tasks: dict[control.MemberAddress, anyio.CancelScope] = {}
-        self._control = control.create_control(
+        self._control = control.create_control_client(
             settings.members or seed_addresses(settings.seeds),
             *(self._credential, clock),
         )
@@ -64,7 +64,7 @@
         self._addresses: tuple[control.MemberAddress, ...] = ()
         self.port = 0
 
-    def _open(self) -> None:
+    def _load_journal(self) -> None:
         """Creates replica and state from the journal."""
         restored = self._journal.restored
         name = self._settings.name
@@ -95,18 +95,20 @@
         self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
         self._timers.every(TICK_S, lambda now: self._work.set())
         StopWatcher(self._timers)
-        self._timers.every(REPORT_S, self._report)
-        self._timers.every(SILENCE_CHECK_S, self._check_silence)
-        self._timers.every(LOADS_S, lambda now: self._leader.share_loads())
+        self._timers.every(METRICS_INTERVAL_S, self._report_metrics)
+        self._timers.every(SILENCE_CHECK_INTERVAL_S, self._check_silence)
+        self._timers.every(
+            LOADS_INTERVAL_S, lambda now: self._leader.publish_loads()
+        )
         try:
             async with self._control, anyio.create_task_group() as group:
                 self._group = group
                 group.start_soon(self._timers.run)
-                group.start_soon(self._drive)
+                group.start_soon(self._run_replica)
                 group.start_soon(self._accept, listener)
                 self._set_peers(self._settings.members)
                 if self._settings.seeds:
-                    group.start_soon(self._find_group)
+                    group.start_soon(self._form_or_join)
                 task_status.started(self.port)
         finally:
             self._journal.close()
@@ -115,7 +117,7 @@
         """Submits a command to the leader, which may be this member.
 
         Raises:
-            ControlError: See `control.Control.submit`.
+            ControlError: See `control.ControlClient.submit`.
         """
         return await self._control.submit(command, timeout_s, in_force=False)
 
@@ -123,7 +125,7 @@
         """Sends a message of `control_messages` to the leader.
 
         Raises:
-            ControlError: See `control.Control.ask`.
+            ControlError: See `control.ControlClient.ask`.
         """
         return await self._control.ask(message, timeout_s)
 
@@ -150,7 +152,7 @@
         """Returns the end of the leader lease; 0.0 when it does not hold."""
         return self._replica.leads_until(self._clock.now())
 
-    async def _find_group(self) -> None:
+    async def _form_or_join(self) -> None:
         """Forms the group, or joins it when this member is in none."""
         while True:
             try:
@@ -161,11 +163,13 @@
                             for seed in self._settings.seeds
                         )
                     )
-                elif self._replica.leader is None or not self._is_listed():
+                elif (
+                    self._replica.leader is None or not self._is_group_member()
+                ):
                     await self._join()
             except ControlError as exc:
                 log("group_not_found", reason=str(exc))
-            await anyio.sleep(JOIN_S)
+            await anyio.sleep(JOIN_INTERVAL_S)
 
     def _should_form(self) -> bool:
         """Tells whether this member is the first seed of a new deployment.
@@ -179,7 +183,7 @@
             and seeds[0] == self._settings.listen
         )
 
-    def _is_listed(self) -> bool:
+    def _is_group_member(self) -> bool:
         identity = self._journal.identity
         return any(m.identity == identity for m in self._replica.members)
 
@@ -196,14 +200,14 @@
 
     def _set_peers(self, addresses: Iterable[control.MemberAddress]) -> None:
         """Keeps links to these members and to no others."""
-        wanted = {a for a in addresses if a.name != self._settings.name}
-        for address in self._peer_tasks.keys() - wanted:
+        target = {a for a in addresses if a.name != self._settings.name}
+        for address in self._peer_tasks.keys() - target:
             self._peer_tasks.pop(address).cancel()
-        for address in wanted - self._peer_tasks.keys():
+        for address in target - self._peer_tasks.keys():
             self._peer_tasks[address] = anyio.CancelScope()
-            self._group.start_soon(self._keep_peer, address)
+            self._group.start_soon(self._maintain_peer, address)
 
-    def _follow_members(self) -> None:
+    def _apply_member_list(self) -> None:
         """Takes over the addresses of the member list, once there is one."""
         addresses = self._leader.addresses()
         if self._settings.seeds and addresses != self._addresses:
@@ -217,8 +221,8 @@
 
     async def prepare_stop(self) -> None:
         """Hands the office to another member before a planned stop."""
-        until = self._clock.now() + HAND_OVER_S
-        while self._leader.in_office and self._clock.now() < until:
+        until = self._clock.now() + HAND_OVER_TIMEOUT_S
+        while self._leader.is_active and self._clock.now() < until:
             if self._leader.idle and self._replica.hand_over(self._clock.now()):
                 self._work.set()
                 # The driver saves and sends before the process ends.
@@ -229,24 +233,26 @@
     async def _accept(self, listener: anyio.abc.Listener) -> None:
         await links.serve(
             *(listener, self._credential, CONTROL, self._handle),
-            *(self._on_refused, self._on_closed),
+            *(self._on_link_refused, self._on_link_closed),
         )
 
-    def _on_refused(self, exc: CredentialError) -> None:
+    def _on_link_refused(self, exc: CredentialError) -> None:
         self._metrics.count("credential.refused")
         log("link_refused", reason=str(exc))
 
-    def _on_closed(self, link: links.Link) -> None:
+    def _on_link_closed(self, link: links.Link) -> None:
         self._leader.forget_link(link)
-        for name in [n for n, kept in self._peers.items() if kept is link]:
+        for name in [
+            n for n, peer_link in self._peers.items() if peer_link is link
+        ]:
             del self._peers[name]
 
-    async def _keep_peer(self, address: control.MemberAddress) -> None:
+    async def _maintain_peer(self, address: control.MemberAddress) -> None:
         """Keeps an outgoing link to another member."""
         with self._peer_tasks[address]:
-            await self._connect_again(address)
+            await self._reconnect_peer(address)
 
-    async def _connect_again(self, address: control.MemberAddress) -> None:
+    async def _reconnect_peer(self, address: control.MemberAddress) -> None:
         while True:
             try:
                 link = await links.connect(
@@ -254,7 +260,7 @@
                     *(CONTROL, self._handle),
                 )
             except CredentialError as exc:
-                self._on_refused(exc)
+                self._on_link_refused(exc)
             except LinkError:
                 pass
             else:
@@ -267,9 +273,9 @@
                 finally:
                     if self._peers.get(address.name) is link:
                         del self._peers[address.name]
-            await anyio.sleep(RECONNECT_S)
+            await anyio.sleep(RECONNECT_DELAY_S)
 
-    async def _drive(self) -> None:
+    async def _run_replica(self) -> None:
         """Takes the replica's output: journal first, then messages."""
         while True:
             await self._work.wait()
@@ -278,13 +284,13 @@
             output = self._replica.take_output()
             self._save(output)
             for name, message in output.messages:
-                self._send_peer(name, message)
-            self._install(output)
+                self._send_to_peer(name, message)
+            self._install_snapshot(output)
             for entry in output.committed:
                 self._leader.apply(entry)
-            self._leader.follow_role()
-            self._follow_members()
-            self._compact()
+            self._leader.update_role()
+            self._apply_member_list()
+            self._compact_if_due()
 
     def _save(self, output: replica.Output) -> None:
         if output.needs_sync:
@@ -292,7 +298,7 @@
             self._journal.save(output)
             self._metrics.timing("journal.save", self._clock.now() - began_at)
 
-    def _send_peer(self, name: str, message: object) -> None:
+    def _send_to_peer(self, name: str, message: object) -> None:
         link = self._peers.get(name)
         if link is None:
             return
@@ -302,22 +308,22 @@
         except LinkError:
             self._peers.pop(name, None)
 
-    def _install(self, output: replica.Output) -> None:
+    def _install_snapshot(self, output: replica.Output) -> None:
         if output.snapshot is not None:
             self._state.restore(output.snapshot.data)
             self._leader.applied = output.snapshot.index
 
-    def _report(self, now: float) -> None:
+    def _report_metrics(self, now: float) -> None:
         routers = self._leader.router_count(now)
-        self._metrics.gauge("member.leads", int(self._leader.in_office))
+        self._metrics.gauge("member.leads", int(self._leader.is_active))
         self._metrics.gauge("member.term", self._replica.term)
         self._metrics.gauge("member.commit_index", self._replica.commit_index)
         self._metrics.gauge("member.routers", routers)
         self._metrics.gauge("member.records", len(self._state.records))
 
-    def _compact(self) -> None:
-        due = self._settings.snapshot_every
-        if self._replica.entries_since_snapshot >= due:
+    def _compact_if_due(self) -> None:
+        threshold = self._settings.snapshot_every
+        if self._replica.entries_since_snapshot >= threshold:
             self._replica.compact(
                 self._leader.applied,
                 self._state.snapshot(),
@@ -328,21 +334,21 @@
     async def _handle(self, link: links.Link, message: object):
         match message:
             case control.Peer(sender=sender, data=data):
-                self._receive(sender, data)
+                self._receive_peer_message(sender, data)
             case control.Hello(name=name, identity=identity):
-                self._note_peer(link, name, identity)
+                self._register_peer(link, name, identity)
             case control.Renew():
                 return self._leader.renew(link, message)
             case control.Submit(command=data, in_force=in_force):
                 return await self._leader.submit(data, in_force)
             case control.LoadShare():
-                self._leader.note_loads(link, message)
+                self._leader.record_loads(link, message)
             case control.Heartbeat():
                 return await self._leader.heartbeat(message)
             case control.ReadDeployment():
                 return self._leader.read_deployment()
             case control.Join():
-                return self._leader.note_joining(message)
+                return self._leader.register_joining(message)
             case control.Query():
                 return self._leader.status()
             case control.Describe():
@@ -352,10 +358,10 @@
                     self._replica.blank,
                 )
             case control.Form(members=members):
-                return self._form(members)
+                return self._form_group(members)
         return None
 
-    def _receive(self, sender: str, data: bytes) -> None:
+    def _receive_peer_message(self, sender: str, data: bytes) -> None:
         try:
             message = replica.MESSAGES.decode(data)
         except CodecError as exc:
@@ -364,7 +370,9 @@
         self._replica.receive(sender, message, self._clock.now())
         self._work.set()
 
-    def _note_peer(self, link: links.Link, name: str, identity: str) -> None:
+    def _register_peer(
+        self, link: links.Link, name: str, identity: str
+    ) -> None:
         for address in self._settings.members or self._leader.addresses():
             if address.name == name:
                 # It could be reached before this member can reach it: a
@@ -375,12 +383,12 @@
                 )
                 self._work.set()
 
-    def _form(self, members: tuple[control.FormMember, ...]):
+    def _form_group(self, members: tuple[control.FormMember, ...]):
         if not self._replica.blank:
-            same = {m.identity for m in members} == {
+            same_group = {m.identity for m in members} == {
                 m.identity for m in self._replica.members
             }
-            if same:
+            if same_group:
                 return control.Formed()
             return control.Refused(
                 "refused", f"member {self._settings.name} is in another group"
@@ -391,7 +399,7 @@
                 for m in members
             )
         )
-        self._open()
+        self._load_journal()
         log("group_formed", members=[m.name for m in members])
         return control.Formed()
 
@@ -428,12 +436,12 @@
     Raises:
         JournalError: The journal is corrupt or cannot be opened.
     """
-    waits = False
+    waiting = False
     while True:
         try:
             return create_member(settings, clock, metrics, STARTED_AT_S)
         except JournalFullError as exc:
-            if not waits:
+            if not waiting:
                 log("journal_full", reason=str(exc))
-            waits = True
-        await anyio.sleep(ROOM_CHECK_S)
+            waiting = True
+        await anyio.sleep(DISK_SPACE_RETRY_S)
--- a/knapweedarch/order_giver.py
+++ b/knapweedarch/order_giver.py
@@ -5,7 +5,7 @@
 import anyio
 
 from knapweedarch.adapters import Adapter, LoadWeights
-from knapweedarch.control import Control
+from knapweedarch.control import ControlClient
 from knapweedarch.exceptions import ControlError, EndpointError
 from knapweedarch.leases import Lease
 from knapweedarch.logs import log
@@ -25,7 +25,7 @@
         self,
         incarnation: str,
         lease: Lease,
-        control: Control,
+        control: ControlClient,
         adapter: Adapter,
         clock: Clock,
         metrics: Metrics,
--- a/knapweedarch/proxy.py
+++ b/knapweedarch/proxy.py
@@ -91,7 +91,7 @@
         self._draining = False
         self.stopped = anyio.Event()
         incarnation = secrets.token_hex(8)
-        self._control = control.create_control(
+        self._control = control.create_control_client(
             seed_addresses(settings.seeds),
             settings.credential.encode(),
             clock,
@@ -218,7 +218,7 @@
         log("deployment_applied", version=deployment.version)
 
     def _tell_loads(self, now: float) -> None:
-        self._control.tell(self._attempts.chooser.own_loads())
+        self._control.send_one_way(self._attempts.chooser.own_loads())
 
     def _take_loads(self, totals: control.LoadTotals) -> None:
         self._attempts.chooser.set_other_loads(totals, self._clock.now())
--- a/knapweedarch/records.py
+++ b/knapweedarch/records.py
@@ -131,7 +131,7 @@
     def reserve(self, command: Reserve) -> Reserved | RecordFound | TableFull:
         """Reserves a key unless it is in use or the table is full."""
         self.last_stamp = max(self.last_stamp, command.at)
-        self._drop_old_records()
+        self._drop_expired_records()
         record = self.records.get(command.record_key)
         if record is not None:
             return RecordFound(record)
@@ -148,7 +148,7 @@
         )
         return Reserved()
 
-    def _drop_old_records(self) -> None:
+    def _drop_expired_records(self) -> None:
         oldest_kept = self.last_stamp - RECORD_RETENTION_S
         while self.records:
             key = next(iter(self.records))
@@ -220,7 +220,7 @@
 
 
 @attrs.frozen
-class Stamper:
+class TimestampSource:
     """Makes the stamps of one leader; they continue those of the log.
 
     Clocks of different instances are not comparable: a leader whose clock is
@@ -235,7 +235,7 @@
     last_stamp: float
     leader_since: float
 
-    def stamp(self, now: float) -> float:
+    def timestamp(self, now: float) -> float:
         """Returns the stamp for a command proposed now."""
         return self.last_stamp + max(0.0, now - self.leader_since)
 
--- a/knapweedarch/router.py
+++ b/knapweedarch/router.py
@@ -76,7 +76,7 @@
             _scheduler_config(settings, distances_ms),
             seed=int(self.incarnation, 16),
         )
-        self._control = control.create_control(
+        self._control = control.create_control_client(
             settings.members,
             settings.credential.encode(),
             clock,
@@ -156,7 +156,7 @@
         """Submits a command to the control members.
 
         Raises:
-            ControlError: See `control.Control.submit`.
+            ControlError: See `control.ControlClient.submit`.
         """
         return await self._control.submit(command, timeout_s)
 
--- a/knapweedarch/settings_watch.py
+++ b/knapweedarch/settings_watch.py
@@ -9,18 +9,19 @@
 from knapweedarch.exceptions import SettingsError
 from knapweedarch.logs import log
 
-CHECK_S = 1.0
+POLL_INTERVAL_S = 1.0
 
 _T = TypeVar("_T")
 
 
-async def follow_settings(
+async def watch_settings(
     read: Callable[[], _T], apply: Callable[[_T], None]
 ) -> None:
     """Applies changed settings until cancelled.
 
-    The file is read again at SIGHUP, and each `CHECK_S` since it may change
-    without a signal. Settings that are refused leave the old ones in force.
+    The file is read again at SIGHUP, and each `POLL_INTERVAL_S` since it may
+    change without a signal. Settings that are refused leave the old ones in
+    force.
 
     Args:
         read: Reads the settings; raises `SettingsError`.
@@ -29,15 +30,15 @@
     current = read()
     with anyio.open_signal_receiver(signal.SIGHUP) as signals:
         while True:
-            with anyio.move_on_after(CHECK_S):
+            with anyio.move_on_after(POLL_INTERVAL_S):
                 async for _ in signals:
                     break
             try:
-                found = read()
+                loaded = read()
             except SettingsError as exc:
                 log("settings_refused", faults=exc.faults)
                 continue
-            if found != current:
-                current = found
-                apply(found)
+            if loaded != current:
+                current = loaded
+                apply(loaded)
                 log("settings_reloaded")
--- a/knapweedarch/state.py
+++ b/knapweedarch/state.py
@@ -25,8 +25,8 @@
     Reserved,
     Settle,
     Settled,
-    Stamper,
     TableFull,
+    TimestampSource,
     record_key,
 )
 from knapweedarch.state_commands import (
@@ -81,17 +81,17 @@
     "RulesConflict",
     "Settle",
     "Settled",
-    "Stamper",
     "TableFull",
     "TakeOrders",
+    "TimestampSource",
     "WeightsNamed",
+    "is_still_loading",
     "record_key",
-    "still_loads",
 ]
 
 MAX_STORED_ANSWERS = 1_000
 MAX_ENDPOINTS = 5_000
-MAX_SUPERSEDED = 16
+MAX_SUPERSEDED_INCARNATIONS = 16
 
 
 @attrs.frozen
@@ -188,8 +188,11 @@
         raise AssertionError(f"no such command: {command}")
 
     def _put_deployment(self, command: PutDeployment) -> DeploymentAccepted:
-        held = self.deployment.version if self.deployment else 0
-        if self.deployment is None or command.deployment.version > held:
+        current_version = self.deployment.version if self.deployment else 0
+        if (
+            self.deployment is None
+            or command.deployment.version > current_version
+        ):
             self.deployment = command.deployment
             self.document = command.document
         return DeploymentAccepted(self.deployment.version)
@@ -226,7 +229,7 @@
     def _announce(self, command: Announce) -> EndpointAccepted | TableFull:
         endpoint = command.endpoint
         known = self.endpoints.get(endpoint.id)
-        if known is None and not self._make_place():
+        if known is None and not self._make_room():
             return TableFull()
         if known is None:
             self._put_endpoint(endpoint, False, ())
@@ -235,36 +238,38 @@
             return EndpointAccepted(self.revision, known.endpoint.status)
         restarted = known.endpoint.incarnation != endpoint.incarnation
         retired = known.retired and not command.by_operator
-        left = (
+        departed = (
             not restarted
             and known.endpoint.status is EndpointStatus.LEAVING
             and not command.by_operator
         )
-        if retired or left:
+        if retired or departed:
             # An announcement sent before the endpoint left may arrive late.
             endpoint = attrs.evolve(endpoint, status=EndpointStatus.LEAVING)
-        elif not restarted and still_loads(known.endpoint, endpoint):
+        elif not restarted and is_still_loading(known.endpoint, endpoint):
             endpoint = attrs.evolve(endpoint, status=EndpointStatus.LOADING)
         if known.endpoint != endpoint or known.retired != retired:
             superseded = known.superseded
             if restarted:
                 superseded = (*superseded, known.endpoint.incarnation)
-            self._put_endpoint(endpoint, retired, superseded[-MAX_SUPERSEDED:])
+            self._put_endpoint(
+                endpoint, retired, superseded[-MAX_SUPERSEDED_INCARNATIONS:]
+            )
         return EndpointAccepted(self.revision, endpoint.status)
 
-    def _make_place(self) -> bool:
+    def _make_room(self) -> bool:
         """Drops the endpoint that left first if the table is full."""
         if len(self.endpoints) < MAX_ENDPOINTS:
             return True
-        left = [
+        departed = [
             entry
             for entry in self.endpoints.values()
             if entry.endpoint.status
             in (EndpointStatus.LEAVING, EndpointStatus.SILENT)
         ]
-        if not left:
+        if not departed:
             return False
-        oldest = min(left, key=lambda entry: entry.revision)
+        oldest = min(departed, key=lambda entry: entry.revision)
         del self.endpoints[oldest.endpoint.id]
         return True
 
@@ -340,27 +345,27 @@
 
     def restore(self, data: bytes) -> None:
         """Replaces the whole state by an encoded one."""
-        taken = _SNAPSHOTS.decode(data)
-        self.rules_version = taken.rules_version
-        self.rules_text = taken.rules_text
-        self.revision = taken.revision
-        self.endpoints = {e.endpoint.id: e for e in taken.endpoints}
-        self._records.unpack(taken.records, taken.last_stamp)
-        self._answers = OrderedDict(taken.answers)
-        self.orders_holder = taken.orders_holder
-        self.fencing_number = taken.fencing_number
-        self.deployment = taken.deployment
-        self.document = taken.document
-        self.weights = dict(taken.weights)
-
-
-def still_loads(known: Endpoint, told: Endpoint) -> bool:
+        decoded = _SNAPSHOTS.decode(data)
+        self.rules_version = decoded.rules_version
+        self.rules_text = decoded.rules_text
+        self.revision = decoded.revision
+        self.endpoints = {e.endpoint.id: e for e in decoded.endpoints}
+        self._records.unpack(decoded.records, decoded.last_stamp)
+        self._answers = OrderedDict(decoded.answers)
+        self.orders_holder = decoded.orders_holder
+        self.fencing_number = decoded.fencing_number
+        self.deployment = decoded.deployment
+        self.document = decoded.document
+        self.weights = dict(decoded.weights)
+
+
+def is_still_loading(known: Endpoint, announced: Endpoint) -> bool:
     """Tells whether an endpoint that loads weights has not ended that yet.
 
     It goes on announcing itself as active meanwhile.
     """
     return (
         known.status is EndpointStatus.LOADING
-        and told.status is EndpointStatus.ACTIVE
-        and known.weights_version == told.weights_version
+        and announced.status is EndpointStatus.ACTIVE
+        and known.weights_version == announced.weights_version
     )
