--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -1,13 +1,13 @@
 Feature: Calls that may run at most once
 
   Scenario: A key runs at most once under faults
-    When 1500 schedules of crashes, lost leases, resends and repeated commands run
-    Then every promise of at-most-once calls was kept
+    When 1500 schedules of crashes, lost leases, retries and duplicated commands run
+    Then every at-most-once guarantee held
     And at least 1000 calls ran and 300 outcomes were unknown
 
   Scenario Outline: The schedules find a rule that is left out
     When up to 1500 such schedules run in which <fault>
-    Then a promise of at-most-once calls was broken
+    Then an at-most-once guarantee was violated
 
     Examples:
       | fault                                   |
@@ -20,8 +20,8 @@
 
   Scenario: Records are kept for 24 hours
     Given a call that ran at 0 h
-    Then a resend at 23.9 h gets its answer
-    And a resend at 24.1 h is a new call
+    Then a retry at 23.9 h gets its answer
+    And a retry at 24.1 h is a new call
 
   Scenario: A full table refuses new keys and keeps old ones
     Given a table full of records reserved at 1 h
@@ -30,10 +30,10 @@
 
   Scenario: A leader whose clock is ahead drops no record
     Given a call that ran at 0 h
-    When a leader whose clock is 720 h ahead stamps the resend 0.1 h later
-    Then the resend gets the answer
+    When a leader whose clock is 720 h ahead adds a timestamp to the retry 0.1 h later
+    Then the retry gets the answer
 
   Scenario: With bare clocks as stamps the call would run again
     Given a call that ran at 0 h
-    When the resend is stamped with a clock that is 720 h ahead
-    Then the resend is a new call
+    When the timestamp of the retry is taken from a clock that is 720 h ahead
+    Then the retry is a new call
--- a/features/core.feature
+++ b/features/core.feature
@@ -1,7 +1,7 @@
 Feature: Router leases
 
   Scenario: A new leader waits out the leases of its predecessor
-    Given a lease table of a leader that took office at 10.0 s
+    Given a lease table of a leader elected at 10.0 s
     Then index 5 is not in force at 12.0 s
     And index 5 is in force at 12.2 s
 
--- a/features/lease.feature
+++ b/features/lease.feature
@@ -1,9 +1,9 @@
 Feature: Changes in force under faults
 
   Scenario: No router works under a state older than an answered change
-    When 600 schedules of leader changes, cuts, deafness, freezes and late grants run
+    When 600 schedules of leader changes, partitions, lost replies, frozen processes and delayed grants run
     Then no router started work under an older state
-    And every answer came within 2.3 s unless the leader changed
+    And every change was answered within 2.3 s unless the leader changed
     And at least 600 changes were answered
 
   Scenario Outline: The schedules find a rule that is left out
@@ -18,18 +18,18 @@
       | the leader counts 2.0 s for a slower clock      |
 
   Scenario: Without its limit a router that hears no answer blocks changes
-    When up to 300 schedules run in which deaf routers get new leases
+    When up to 300 schedules run in which routers that receive no replies get new leases
     Then an answer took longer than 4.0 s under one leader
 
   Scenario: Operators race with different files under an equal base version
-    When 1500 races of operators who resend after lost answers run
+    When 1500 races of operators who retry after lost answers run
     Then each base version has exactly one accepted file
-    And each resend got the first answer
+    And each retry got the first answer
     And no version of the rules was followed by an older text
 
   Scenario Outline: The races find a rule that is left out
     When up to 300 races run in which <fault>
-    Then a promise to the operators was broken
+    Then a guarantee to the operators was violated
 
     Examples:
       | fault                          |
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run seeded fault schedules on at-most-once records."""
+"""Steps that run seeded fault schedules against at-most-once records."""
 
 import random
 from collections import Counter
@@ -38,7 +38,7 @@
 
 
 class FreeOnAbandon(ControlState):
-    """Frees the keys of a router whose lease ended."""
+    """Frees the keys of a router whose lease expired."""
 
     def _abandon(self, incarnation):
         result = super()._abandon(incarnation)
@@ -49,7 +49,7 @@
 
 
 class FreeOnLateNotRun(ControlState):
-    """Frees an unknown key when its holder says that it was not run."""
+    """Frees an unknown key if its holder reports that the call did not run."""
 
     def _settle(self, command):
         record = self.records.get(command.record_key)
@@ -60,12 +60,13 @@
 
 @attrs.define
 class Call:
-    """One caller's request at a router.
+    """A request of a caller to a router.
 
     Attributes:
-        phase: reserving, held, sent or closed.
-        epoch: Lease epoch of the router when it reserved.
-        outcome: What the caller was told: an answer, not_run or unknown.
+        phase: reserving, held or closed.
+        epoch: Lease epoch of the router at the reservation.
+        outcome: Outcome reported to the caller: an answer, not_run or
+            unknown.
     """
 
     key: str
@@ -78,11 +79,11 @@
 
 @attrs.define
 class CallRouter:
-    """A router; `lease` is code under test.
+    """A router; `lease` is the code under test.
 
     Attributes:
-        no_renewal_until: Until when it does not renew.
-        frozen: Whether it does nothing else either until then.
+        no_renewal_until: Time until which it does not renew its lease.
+        frozen: Whether it also sends no calls until then.
     """
 
     name: str
@@ -93,16 +94,16 @@
 
     @property
     def incarnation(self) -> str:
-        """Returns its name in this run."""
+        """Name of the router in its current run."""
         return f"{self.name}.{self.starts}"
 
 
 class AtMostOnceSchedule:
-    """Callers, two routers, the log and a service, in virtual time.
+    """Callers, two routers, the log and a service in virtual time.
 
     Attributes:
-        outcomes: How often callers were told each kind of outcome.
-        runs: How often the service ran each key.
+        outcomes: Number of outcomes reported to callers, by kind.
+        runs: Number of runs at the service, by key.
     """
 
     def __init__(
@@ -129,7 +130,7 @@
         self.outcomes, self.runs = Counter(), Counter()
 
     def run(self):
-        """Runs the schedule; an `AssertionError` is a broken promise."""
+        """Runs the schedule; raises `AssertionError` if a guarantee fails."""
         steps = (
             *(
                 self._start_call,
@@ -145,7 +146,7 @@
                 self._renew,
             ),
         )
-        # Uneven weights reach states that even ones would hardly reach.
+        # Uneven weights reach states that even ones rarely reach.
         weights = [self._random.choice((1, 2, 8)) for _ in steps]
         for step in self._random.choices(steps, weights, k=STEPS):
             step()
@@ -194,7 +195,7 @@
             self._queue.append(self._random.choice(self._queue))
 
     def _deliver(self):
-        """Applies a command, in any order; the answer may be lost."""
+        """Applies a command out of order; the answer may be lost."""
         if not self._queue:
             return
         index = self._random.randrange(len(self._queue))
@@ -280,7 +281,7 @@
             self._any_epoch or lease.epoch == call.epoch
         )
         if not may_send or self._random.random() < 0.3:
-            self._settle(call, "not_run", None)  # Refused connection.
+            self._settle(call, "not_run", None)  # Connection refused.
             return
         assert call.key not in self._unknown, f"{call.key} sent after unknown"
         ran = self._random.random() < 0.8
@@ -319,7 +320,7 @@
 
 
 @when(
-    "{count:d} schedules of crashes, lost leases, resends and repeated "
+    "{count:d} schedules of crashes, lost leases, retries and duplicated "
     "commands run"
 )
 def run_faultless(context, count):
@@ -331,12 +332,12 @@
     run_schedules(context, count, **FAULTS[fault])
 
 
-@then("every promise of at-most-once calls was kept")
+@then("every at-most-once guarantee held")
 def guarantees_held(context):
     assert context.fault is None, context.fault
 
 
-@then("a promise of at-most-once calls was broken")
+@then("an at-most-once guarantee was violated")
 def guarantee_violated(context):
     assert context.fault is not None
     print(context.fault)
@@ -348,7 +349,7 @@
     assert context.outcomes["unknown"] >= unknown, context.outcomes
 
 
-# Retention and bounds.
+# Retention of records and size of the table.
 
 
 def apply(context, command):
@@ -368,19 +369,19 @@
     apply(context, done)
 
 
-@then("a resend at {hours:g} h gets its answer")
+@then("a retry at {hours:g} h gets its answer")
 def resend_answered(context, hours):
     context.result = reserve(context, "key", hours * HOUR_S)
     answered(context)
 
 
-@then("the resend gets the answer")
+@then("the retry gets the answer")
 def answered(context):
     assert isinstance(context.result, RecordFound), context.result
     assert context.result.record.answer == b"answer"
 
 
-@then("a resend at {hours:g} h is a new call")
+@then("a retry at {hours:g} h is a new call")
 def resend_new(context, hours):
     assert reserve(context, "key", hours * HOUR_S) == Reserved()
 
@@ -410,8 +411,8 @@
 
 
 @when(
-    "a leader whose clock is {ahead:g} h ahead stamps the resend {hours:g} h "
-    "later"
+    "a leader whose clock is {ahead:g} h ahead adds a timestamp to the retry "
+    "{hours:g} h later"
 )
 def resend_with_timestamp(context, ahead, hours):
     since = ahead * HOUR_S
@@ -420,11 +421,13 @@
     context.result = reserve(context, "key", at)
 
 
-@when("the resend is stamped with a clock that is {ahead:g} h ahead")
+@when(
+    "the timestamp of the retry is taken from a clock that is {ahead:g} h ahead"
+)
 def resend_with_bare_clock(context, ahead):
     context.result = reserve(context, "key", ahead * HOUR_S)
 
 
-@then("the resend is a new call")
+@then("the retry is a new call")
 def is_new(context):
     assert context.result == Reserved(), context.result
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -38,7 +38,7 @@
 
 
 def submit(members, command, timeout_s):
-    """Submits a command; returns the reason it failed for, or its result."""
+    """Submits a command; returns its result or the reason for its failure."""
 
     async def run():
         client = control.create_control_client(
@@ -59,12 +59,12 @@
     return state.RESULTS.decode(data)
 
 
-@given("a member that drops the first order and redirects all later ones")
+@given("a member that drops the first command and redirects all later ones")
 def dropping_and_redirecting_member(context):
     context.orders = 0
 
 
-@when("an order is given")
+@when("a command is submitted")
 def give_order(context):
     async def handle(link, message):
         context.orders += 1
@@ -96,7 +96,7 @@
     assert context.orders > 1, context.orders
 
 
-@then("the order ends as {reason}")
+@then("the command ends as {reason}")
 def command_ends(context, reason):
     assert context.reason == reason, context.reason
 
@@ -107,13 +107,13 @@
     assert apply(context.machine, ORDER) == state.RulesAccepted(1)
 
 
-@then('the same order under request id "a" gets the first answer')
+@then('the same command under request id "a" gets the first answer')
 def same_order(context):
     assert apply(context.machine, ORDER) == state.RulesAccepted(1)
     assert context.machine.rules_version == 1
 
 
-@then('another order under request id "a" is refused as RequestIdReused')
+@then('another command under request id "a" is refused as RequestIdReused')
 def other_order(context):
     other = attrs.evolve(ORDER, base_version=1)
     assert apply(context.machine, other) == state.RequestIdReused()
@@ -150,7 +150,7 @@
     assert "rnew" in known and "r4" in known and "r9" not in known
 
 
-@given("a runner that serves two models and rules that name w2 and w3 for them")
+@given("a runner that serves two models and rules that set w2 and w3 for them")
 def two_models(context):
     context.runner = endpoint(1, serves=("guide", "scribe"))
     context.rules = Rules(
@@ -193,7 +193,7 @@
 
 @then("the rules version is still {version:d}")
 def still_version(context, version):
-    # Based on `version`, so that it conflicts if the version has moved.
+    # Based on `version`, so that it conflicts if the version has changed.
     order = state.PutRules("c", version, ORDER.text)
     result = submit(context.members, order, 10)
     assert result == state.RulesAccepted(version + 1), result
@@ -224,7 +224,7 @@
 def router_knows(context):
     class StubScheduler:
         def set_endpoints(self, endpoints, now):
-            """Takes endpoints."""
+            """Ignores the endpoints."""
 
     context.known = endpoint(1, kind=EndpointKind.SERVICE)
     context.endpoints = EndpointTable(
@@ -233,18 +233,18 @@
     context.endpoints.update([state.EndpointEntry(context.known, 1)])
 
 
-@then("its announcement is no news")
+@then("its announcement is not forwarded")
 def no_news(context):
     assert not context.endpoints.is_news(context.known)
 
 
-@then("its announcement with another incarnation is news")
+@then("its announcement with another incarnation is forwarded")
 def incarnation_is_news(context):
     changed = attrs.evolve(context.known, incarnation="other")
     assert context.endpoints.is_news(changed)
 
 
-@then("its announcement as leaving is news until the members have it")
+@then("its announcement as leaving is forwarded until the members have it")
 def leaving_is_news(context):
     leaving = attrs.evolve(context.known, status=EndpointStatus.LEAVING)
     context.endpoints.update([state.EndpointEntry(leaving, 2)])
@@ -263,7 +263,7 @@
             self.results = []
 
         def submit(self, ticket, now):
-            """Lets the request wait."""
+            """Makes the request wait."""
             return Wait()
 
         def poll(self, now):
@@ -271,7 +271,7 @@
             return [(ticket.id, dispatch)]
 
         def finished(self, attempt, result, now):
-            """Keeps the end of an attempt."""
+            """Records the end of an attempt."""
             self.results.append((attempt.number, result.cancelled))
 
     context.ticket, context.scheduler = ticket, SingleDecisionScheduler()
@@ -298,11 +298,12 @@
     assert context.scheduler.results == [(1, True)], context.scheduler.results
 
 
-@given("an address where connections hang")
+@given("an address where connection attempts hang")
 def hanging_address(context):
     context.listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     context.add_cleanup(context.listener.close)
-    # The kernel drops the first packet of any more connections than these.
+    # Once these fill the backlog, the kernel drops the first packet of any
+    # further connection.
     for _ in range(4):
         filler = socket.socket()
         filler.setblocking(False)
@@ -326,23 +327,23 @@
     anyio.run(run)
 
 
-@then("it ends as not connected within {limit:f} s")
+@then("the attempt fails within {limit:f} s")
 def not_connected(context, limit):
     assert 0.1 <= context.elapsed_s <= limit, context.elapsed_s
 
 
 class RecordingLink:
-    """Keeps what is sent over a link."""
+    """Link that records the messages sent over it."""
 
     def __init__(self):
         self.sent = []
 
     def send(self, message):
-        """Takes a message."""
+        """Records a message."""
         self.sent.append(message)
 
 
-@given('a member that has not reached member "{name}" yet')
+@given('a member that has not connected to member "{name}" yet')
 def unreached_peer(context, name):
     folder = tempfile.mkdtemp()
     context.add_cleanup(shutil.rmtree, folder)
@@ -360,7 +361,7 @@
     )
 
 
-@when('member "{name}" opens a link and says who it is')
+@when('member "{name}" opens a link and identifies itself')
 def peer_opens_link(context, name):
     context.link = RecordingLink()
     hello = control.Hello(name, "00")
@@ -373,7 +374,7 @@
     return len(context.link.sent)
 
 
-@then('messages to member "{name}" go over that link')
+@then('messages to member "{name}" are sent over that link')
 def go_over_link(context, name):
     assert send_to(context, name) == 1
 
@@ -384,6 +385,6 @@
     context.link.sent.clear()
 
 
-@then('messages to member "{name}" go nowhere')
+@then('messages to member "{name}" are not sent')
 def go_nowhere(context, name):
     assert send_to(context, name) == 0
--- a/features/steps/lease_schedule_steps.py
+++ b/features/steps/lease_schedule_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run seeded fault schedules on leases and on the state."""
+"""Steps that run seeded fault schedules against leases and the state."""
 
 import heapq
 import itertools
@@ -34,12 +34,12 @@
 MAX_RATE_ERROR = 0.024
 POLL_S = 0.05
 WORK_S = 0.06
-# A link that is silent for longer is closed, so nothing older arrives.
+# A link that is silent for longer is closed, so no message is delayed more.
 MAX_DELAY_S = 1.0
 
 
 class NoWaitTable(LeaseTable):
-    """A new leader that does not wait for its predecessor's grants."""
+    """A new leader that does not wait until earlier grants have expired."""
 
     def __init__(self, leader_since: float):
         super().__init__(leader_since - GRANT_S)
@@ -49,23 +49,23 @@
     """A leader that answers as soon as the change is committed."""
 
     def in_force(self, index: int, now: float) -> bool:
-        """Never waits for a router."""
+        """Does not wait for any router."""
         return now >= self._prior_grants_end
 
 
 class NoDriftMarginTable(LeaseTable):
-    """A leader that leaves no room for the drift of clocks."""
+    """A leader that allows no margin for clock drift."""
 
     def grant(self, holder: str, applied: int, now: float) -> float:
-        """Counts the bare duration of the lease."""
+        """Records the duration of the lease without the margin."""
         return super().grant(holder, applied, now - (GRANT_S - LEASE_S))
 
 
 class UnlimitedGrantTable(LeaseTable):
-    """A leader that extends grants whatever the holder has applied."""
+    """A leader that renews leases whatever the holder has applied."""
 
     def grant(self, holder: str, applied: int, now: float) -> float:
-        """Forgets which changes wait."""
+        """Discards the pending changes."""
         self._waiting_since.clear()
         return super().grant(holder, applied, now)
 
@@ -76,7 +76,7 @@
     def granted(
         self, requested_at: float, duration_s: float, now: float
     ) -> None:
-        """Ignores how long the grant was under way."""
+        """Ignores the transmission time of the grant."""
         super().granted(now, duration_s, now)
 
 
@@ -90,9 +90,9 @@
 
     Attributes:
         rate: Rate of its clock.
-        frozen_until: When it goes on, in true time.
-        partitioned_until: Until when its messages are lost, in true time.
-        replies_lost_until: Until when it does not hear answers, in true time.
+        frozen_until: End of its freeze, in true time.
+        partitioned_until: End of the loss of all its messages, in true time.
+        replies_lost_until: End of the loss of replies to it, in true time.
     """
 
     rate: float
@@ -101,7 +101,7 @@
     replies_lost_until: float = 0.0
 
     def clock(self, now: float) -> float:
-        """Returns its own clock."""
+        """Returns the time on its own clock."""
         return 500.0 + now * self.rate
 
 
@@ -144,7 +144,7 @@
         ]
 
     def _rate(self) -> float:
-        # Extreme rates find more than middle ones.
+        # Extreme rates find more faults than rates in between.
         return 1 + self._random.choice((-1, 0, 1)) * MAX_RATE_ERROR
 
     def _schedule(self, delay: float, step, *args) -> None:
@@ -152,7 +152,7 @@
         heapq.heappush(self._events, item)
 
     def _defer_if_frozen(self, process: Process, step, *args) -> bool:
-        """Puts the step off until the process is no longer frozen."""
+        """Returns whether the process is running; otherwise defers the step."""
         if self._now < process.frozen_until:
             self._schedule(process.frozen_until - self._now, step, *args)
             return False
@@ -167,7 +167,8 @@
         """Runs the schedule.
 
         Raises:
-            StaleStateError: A promise was broken.
+            StaleStateError: A router started work under an older state than
+                one that was answered as in force.
         """
         self._elect()
         for router in self._routers:
@@ -193,7 +194,8 @@
         router = self._random.choice(self._routers)
         match self._random.randrange(5):
             case 0 if self._leader is not None:
-                # Crashed or frozen: its lease runs out before the next office.
+                # The leader crashed or froze: its leader lease expires before
+                # the next leader is elected.
                 self._leader = None
                 self._schedule(self._random.uniform(0.6, 1.8), self._elect)
             case 1:
@@ -283,7 +285,10 @@
 }
 
 
-@when("up to {count:d} schedules run in which deaf routers get new leases")
+@when(
+    "up to {count:d} schedules run in which routers that receive no replies "
+    "get new leases"
+)
 def run_unlimited_grants(context, count):
     run_leases(context, count, table=UnlimitedGrantTable)
 
@@ -295,7 +300,7 @@
 
 
 def run_seeds(context, count, run):
-    """Runs seeds until one fails; keeps the failing seed and its fault."""
+    """Runs seeds until one fails; records the failing seed and its fault."""
     context.fault = None
     for seed in range(count):
         try:
@@ -321,8 +326,8 @@
 
 
 @when(
-    "{count:d} schedules of leader changes, cuts, deafness, freezes and late "
-    "grants run"
+    "{count:d} schedules of leader changes, partitions, lost replies, frozen "
+    "processes and delayed grants run"
 )
 def run_lease_schedules(context, count):
     run_leases(context, count)
@@ -341,7 +346,7 @@
 
 
 @then("a router started work under an older state")
-@then("a promise to the operators was broken")
+@then("a guarantee to the operators was violated")
 @then("an endpoint came back without an operator")
 @then("some results or final states differ")
 def fault_found(context):
@@ -349,9 +354,9 @@
     print(context.fault)
 
 
-@then("every answer came within {limit:f} s unless the leader changed")
+@then("every change was answered within {limit:f} s unless the leader changed")
 def answers_in_time(context, limit):
-    # GRANT_S on the slowest leader clock and one poll.
+    # The limit is GRANT_S on the slowest leader clock and one poll.
     assert context.longest_s <= limit, context.longest_s
 
 
@@ -360,11 +365,11 @@
     assert context.answered >= count, context.answered
 
 
-# Operators and the rule file.
+# Concurrent changes of the rule file.
 
 
 class UncheckedBaseState(ControlState):
-    """Accepts a file whatever version it is based on."""
+    """Accepts a file whatever its base version is."""
 
     def _put_rules(self, command):
         self.rules_version += 1
@@ -376,7 +381,7 @@
     """Stores no answers."""
 
     def apply(self, data: bytes) -> bytes:
-        """Applies a resend as if it were new."""
+        """Applies a retry as if it were a new command."""
         self._answers.clear()
         return super().apply(data)
 
@@ -393,7 +398,7 @@
 
 
 def race(seed, state_class=ControlState):
-    """Operators send, lose answers and resend, also after others have sent."""
+    """Operators send, lose answers and retry, also after commands of others."""
     rng, state = random.Random(seed), state_class()
     sent, first, accepted, texts = [], {}, {}, [""]
     for n in range(30):
@@ -411,12 +416,12 @@
             file = accepted.setdefault(order.base_version, order.text)
             assert file == order.text, f"two files on {order.base_version}"
         if state.rules_text != before:
-            assert state.rules_text not in texts, "an old text came back"
+            assert state.rules_text not in texts, "an older text was restored"
             texts.append(state.rules_text)
     assert len(accepted) == state.rules_version
 
 
-@when("{count:d} races of operators who resend after lost answers run")
+@when("{count:d} races of operators who retry after lost answers run")
 def run_races(context, count):
     run_seeds(context, count, race)
 
@@ -427,7 +432,7 @@
 
 
 @then("each base version has exactly one accepted file")
-@then("each resend got the first answer")
+@then("each retry got the first answer")
 @then("no version of the rules was followed by an older text")
 def race_guarantees_held(context):
     no_fault_found(context)
@@ -460,11 +465,11 @@
     assert context.state.rules_text == "file 2"
 
 
-# Endpoints.
+# Retirement of endpoints.
 
 
 class UnmarkedRetirementState(ControlState):
-    """Retires an endpoint without remembering that an operator did."""
+    """Retires an endpoint without recording that an operator did so."""
 
     def _put_endpoint(self, endpoint, retired, superseded):
         super()._put_endpoint(endpoint, False, superseded)
@@ -528,7 +533,7 @@
 
 
 class AnswerlessSnapshotState(ControlState):
-    """Leaves the stored answers out of its snapshots."""
+    """Omits the stored answers from its snapshots."""
 
     def restore(self, data: bytes) -> None:
         """Restores all but the answers."""
@@ -537,7 +542,7 @@
 
 
 def random_commands(rng):
-    """Returns commands of all kinds, with resends."""
+    """Returns commands of several kinds, with retries."""
     commands = []
     for n in range(60):
         name = f"e{rng.randrange(3)}"
@@ -558,7 +563,7 @@
 
 
 def snapshot_run(seed, state_class=ControlState):
-    """Compares a state with one that goes through snapshots."""
+    """Compares a state with one that is restored from snapshots."""
     rng = random.Random(seed)
     plain, restored = ControlState(), state_class()
     for n, command in enumerate(random_commands(rng)):
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -5,7 +5,7 @@
 from knapweedarch.leases import Lease, LeaseTable
 
 
-@given("a lease table of a leader that took office at {at:f} s")
+@given("a lease table of a leader elected at {at:f} s")
 def new_table(context, at):
     context.leases = LeaseTable(at)
 
--- a/knapweedarch/control.py
+++ b/knapweedarch/control.py
@@ -1,4 +1,4 @@
-"""Client to the control members; offers their messages as well."""
+"""Client of the control members; re-exports the control messages."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -79,9 +79,9 @@
 
 
 class ControlClient(TaskOwner):
-    """Talks to the leader, finding it anew whenever it changes.
+    """Client of the leader; it finds the new leader after a change.
 
-    Use it as an asynchronous context manager; it keeps one link.
+    Use it as an asynchronous context manager. It keeps one link open.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         self._connecting = anyio.Lock()
 
     def set_members(self, members: Sequence[MemberAddress]) -> None:
-        """Takes over the addresses of the members."""
+        """Replaces the addresses of the members."""
         if not members or list(members) == list(self._members.values()):
             return
         self._members = {m.name: m for m in members}
@@ -117,7 +117,7 @@
         ]
 
     def add_members(self, members: Sequence[MemberAddress]) -> None:
-        """Adds addresses to ask, such as new seeds."""
+        """Adds addresses of members, such as new seeds."""
         known = {(m.host, m.port) for m in self._members.values()}
         for member in members:
             if (member.host, member.port) not in known:
@@ -129,12 +129,12 @@
     ) -> object:
         """Submits a command and returns its result.
 
-        Resends until the time is over, which is safe since every command may
-        be applied twice with the effect of one.
+        Retries until the timeout, which is safe because every command is
+        idempotent.
 
         Args:
             command: A command of `state.COMMANDS`.
-            timeout_s: Longest wait in seconds.
+            timeout_s: Maximum wait in seconds.
             in_force: See `Submit`.
 
         Raises:
@@ -172,8 +172,8 @@
             try:
                 reply = await link.call(message, remaining_s)
             except LinkError:
-                # Never taken back: a later member that has done nothing does
-                # not tell what became of the message sent before.
+                # Stays set: a redirect by another member does not show
+                # whether the earlier message took effect.
                 outcome_unknown = True
                 self.close_link()
             else:
@@ -181,7 +181,7 @@
                     case Redirect():
                         self._follow_redirect(reply)
                     case Refused(reason="unknown_outcome"):
-                        # The next leader knows what became of it.
+                        # The next leader knows the outcome.
                         outcome_unknown = True
                     case Refused(reason=reason, message=text):
                         raise ControlError(reason, text)
@@ -198,13 +198,13 @@
     def _follow_redirect(self, redirect: Redirect) -> None:
         self.close_link()
         if redirect.address is not None:
-            # A known address stands: it may lead through a relay.
+            # A known address takes precedence: it may be that of a relay.
             self._members.setdefault(redirect.leader, redirect.address)
         if redirect.leader in self._members:
             self._leader = redirect.leader
 
     def close_link(self) -> None:
-        """Closes the link; the next message opens a fresh one."""
+        """Closes the link; the next message opens a new one."""
         if self._link is not None:
             self._link.close()
             self._link = None
@@ -247,10 +247,11 @@
                 self.close_link()
 
     async def form(self, members: Sequence[MemberAddress]) -> None:
-        """Makes blank members the first group.
+        """Forms the first group from blank members.
 
         Raises:
-            ControlError: A member is not blank or does not answer.
+            ControlError: A member belongs to another group or does not answer,
+                or all members already belong to a group.
         """
         descriptions = [await self._describe(member) for member in members]
         group = Form(
@@ -260,9 +261,11 @@
             )
         )
         if not any(description.blank for description in descriptions):
-            raise ControlError("refused", "the members are already formed")
-        # A member that is not blank goes first: it agrees only if an earlier
-        # try formed exactly this group, and else no other member is changed.
+            raise ControlError(
+                "refused", "all members already belong to a group"
+            )
+        # Members that are not blank come first: they accept only if an earlier
+        # attempt formed exactly this group; otherwise no member is changed.
         by_blank = sorted(
             zip(members, descriptions, strict=True),
             key=lambda pair: pair[1].blank,
@@ -303,13 +306,13 @@
     on_changed: Callable[[], None] = lambda: None,
     on_loads: Callable[[LoadTotals], None] = lambda totals: None,
 ) -> ControlClient:
-    """Creates a client to the control members.
+    """Creates a client of the control members.
 
     Args:
         members: Addresses of the members.
         credential: The shared credential.
         clock: Time source.
-        on_changed: Called when the leader tells of a change.
-        on_loads: Called when the leader tells the load by other routers.
+        on_changed: Called when the leader reports a change.
+        on_loads: Called with the load that other routers cause.
     """
     return ControlClient(members, credential, clock, on_changed, on_loads)
--- a/knapweedarch/control_messages.py
+++ b/knapweedarch/control_messages.py
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class MemberAddress:
-    """Where a member listens."""
+    """Address at which a member listens."""
 
     name: str
     host: str
@@ -19,16 +19,16 @@
 
 @attrs.frozen
 class Renew:
-    """A router asks for a lease.
+    """Requests or renews the lease of a router.
 
     Attributes:
         router: Name of the router.
-        incarnation: Random text drawn at each start of the router.
-        rules_version: Version of the rules that the router applies.
-        revision: Revision of the endpoint table that the router applies.
-        applied: Log index of the last grant that the router applied.
-        deployment_version: Number of the configuration that it applies; 0
-            before the first one.
+        incarnation: Random text generated at each start of the router.
+        rules_version: Version of the rules that the router has applied.
+        revision: Revision of the endpoint table that the router has applied.
+        applied: Log index of the last grant that the router has applied.
+        deployment_version: Version of the routing configuration that the
+            router has applied; 0 if none.
     """
 
     router: str
@@ -41,19 +41,20 @@
 
 @attrs.frozen
 class Grant:
-    """The lease and what the router lacks.
+    """Grants a lease and brings the changes that the router lacks.
 
     Attributes:
-        duration_s: Length of the lease, from when the renewal was sent.
+        duration_s: Duration of the lease, counted from when the renewal was
+            sent.
         applied: Log index that the content reflects.
         rules_version: Current version of the rules.
         rules_text: The rule file, or None if the router has it.
         revision: Current revision of the endpoint table.
         endpoints: Endpoints changed after the router's revision.
-        routers: Routers that hold a lease now.
+        routers: Number of routers that hold a lease.
         deployment: Routing configuration, or None if the router has it.
-        members: Addresses of the members now.
-        weights: Highest weights version named, by model.
+        members: Current addresses of the members.
+        weights: Highest requested weights version, by model.
     """
 
     duration_s: float
@@ -70,7 +71,7 @@
 
 @attrs.frozen
 class Changed:
-    """The leader tells its routers to renew now, since something changed."""
+    """Asks a router to renew now because the state changed."""
 
     index: int
 
@@ -81,8 +82,9 @@
 
     Attributes:
         command: The command.
-        in_force: Whether to answer only once every router applies a change
-            that takes work away from an endpoint or replaces the rules.
+        in_force: Whether the reply to a command that replaces the rules or
+            takes an endpoint out of use must wait until the change is in
+            force on every router.
     """
 
     command: bytes
@@ -91,12 +93,12 @@
 
 @attrs.frozen
 class Heartbeat:
-    """An endpoint says that it runs.
+    """Reports that an endpoint is alive.
 
     Attributes:
-        endpoint: What it says of itself.
-        number: Number of the heartbeat in its incarnation; a lower one than
-            seen before is late.
+        endpoint: The endpoint as it describes itself.
+        number: Sequence number of the heartbeat in its incarnation; a number
+            lower than one already received is outdated.
     """
 
     endpoint: Endpoint
@@ -105,18 +107,18 @@
 
 @attrs.frozen
 class HeartbeatNoted:
-    """The heartbeat is noted, and what it changed is stored."""
+    """The heartbeat was processed and the changes in it are committed."""
 
 
 @attrs.frozen
 class EndpointLoad:
-    """Requests of routers at one endpoint.
+    """Load of one endpoint caused by routers.
 
     Attributes:
         endpoint_id: The endpoint.
-        requests: Requests that are not answered in full.
-        unread_tokens: Prompt tokens of those without a first event.
-        held_tokens: Tokens of all of them, prompt and answer.
+        requests: Requests whose answer is not complete.
+        unread_tokens: Prompt tokens of the requests without a first event.
+        held_tokens: Prompt and answer tokens of all these requests.
     """
 
     endpoint_id: str
@@ -127,30 +129,30 @@
 
 @attrs.frozen
 class LoadShare:
-    """A router tells the leader the load that it causes itself."""
+    """Load that the sending router causes; sent to the leader."""
 
     loads: tuple[EndpointLoad, ...]
 
 
 @attrs.frozen
 class LoadTotals:
-    """The leader tells a router the load that all others cause together."""
+    """Total load that all other routers cause; sent by the leader."""
 
     loads: tuple[EndpointLoad, ...]
 
 
 @attrs.frozen
 class ReadDeployment:
-    """Asks the leader for the routing configuration in force."""
+    """Requests the routing configuration in force."""
 
 
 @attrs.frozen
 class DeploymentDocument:
-    """The routing configuration in force, as the operator wrote it.
+    """The routing configuration in force.
 
     Attributes:
-        version: Its number; 0 if there is none.
-        document: Its text.
+        version: Version of the configuration; 0 if there is none.
+        document: Source text of the configuration.
     """
 
     version: int
@@ -159,7 +161,7 @@
 
 @attrs.frozen
 class Join:
-    """A member that is in no group asks the leader to take it in."""
+    """Requests to join the group; sent by a member that is in no group."""
 
     name: str
     identity: str
@@ -169,10 +171,10 @@
 
 @attrs.frozen
 class Joining:
-    """The leader takes the member in as soon as it can.
+    """The request to join was accepted; the leader adds the member later.
 
     Attributes:
-        members: Addresses of the members now.
+        members: Current addresses of the members.
     """
 
     members: tuple[MemberAddress, ...]
@@ -187,11 +189,11 @@
 
 @attrs.frozen
 class Redirect:
-    """The member is not the leader and has done nothing.
+    """The member is not the leader and did not process the message.
 
     Attributes:
         leader: Name of the leader, or empty if unknown.
-        address: Where the leader listens, if known.
+        address: Address of the leader, if known.
     """
 
     leader: str
@@ -200,11 +202,11 @@
 
 @attrs.frozen
 class Refused:
-    """The order was refused or its outcome is not known.
+    """The command was refused or its outcome is unknown.
 
     Attributes:
-        reason: `refused`, `unknown_outcome` or `not_in_force`.
-        message: Text for people.
+        reason: `refused` or `unknown_outcome`.
+        message: Human-readable explanation.
     """
 
     reason: str
@@ -213,12 +215,12 @@
 
 @attrs.frozen
 class Query:
-    """Asks the leader for its status."""
+    """Requests the status of the system from the leader."""
 
 
 @attrs.frozen
 class MemberStatus:
-    """One member as the leader sees it."""
+    """A member in the member list of the leader."""
 
     name: str
     identity: str
@@ -239,7 +241,8 @@
         members: Members of the replicated log.
         routers: Names of the routers that hold a lease.
         records: Number of at-most-once records.
-        fencing_number: Number of the latest holder of orders.
+        fencing_number: Fencing number of the router that may send orders to
+            endpoints.
     """
 
     leader: str
@@ -256,17 +259,17 @@
 
 @attrs.frozen
 class Describe:
-    """Asks any member who it is."""
+    """Requests the identity of any member."""
 
 
 @attrs.frozen
 class Description:
-    """Who a member is.
+    """Identity of a member.
 
     Attributes:
         name: Name from its settings.
-        identity: Identity drawn by its journal.
-        blank: Whether its journal has never held an entry.
+        identity: Random identity stored in its journal.
+        blank: Whether its journal has never contained an entry.
     """
 
     name: str
@@ -298,7 +301,7 @@
 
 @attrs.frozen
 class Hello:
-    """A member tells another who it is, as the first message of a link."""
+    """Identifies the sending member, as the first message of a link."""
 
     name: str
     identity: str
--- a/knapweedarch/leader.py
+++ b/knapweedarch/leader.py
@@ -1,4 +1,4 @@
-"""Duties of the leading member: leases, commands and status."""
+"""Leases, commands and status on the member that is the leader."""
 
 import contextlib
 from collections.abc import Callable
@@ -46,7 +46,7 @@
 
 @attrs.define
 class _Proposal:
-    """A command on its way through the log."""
+    """A command that is in the log but not applied yet."""
 
     term: int
     done: anyio.Event = attrs.field(factory=anyio.Event)
@@ -54,11 +54,11 @@
 
 
 class Leader:
-    """What a member does for routers and operators while it leads.
+    """Serves routers and operators while this member is the leader.
 
     Attributes:
         applied: Index of the last entry applied to the state.
-        endpoints: Endpoints by their heartbeats.
+        endpoints: Registry of the endpoints that send heartbeats.
     """
 
     def __init__(
@@ -90,33 +90,33 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether this member has the duties of the leader."""
+        """Whether this member acts as the leader."""
         return self._leases is not None
 
     @property
     def idle(self) -> bool:
-        """Whether no command is on its way through the log."""
+        """Whether no proposed command is pending."""
         return not self._proposals
 
     def router_count(self, now: float) -> int:
-        """Counts the routers with a running lease."""
+        """Counts the routers with an unexpired lease."""
         return self._leases.count(now) if self._leases is not None else 0
 
     def forget_link(self, link: links.Link) -> None:
-        """Notes that a link has closed."""
+        """Removes the state of a closed link."""
         self._routers.pop(link, None)
         self._loads.forget(link)
 
     def record_loads(self, link: links.Link, share: control.LoadShare) -> None:
-        """Notes the load that a router causes."""
+        """Records the load that a router causes."""
         self._loads.note(link, share)
 
     def requests_at(self, endpoint_id: str) -> int:
-        """Counts the requests of all routers at an endpoint."""
+        """Counts the requests of all routers to an endpoint."""
         return self._loads.requests_at(endpoint_id)
 
     def publish_loads(self) -> None:
-        """Tells each router the load that the others cause."""
+        """Sends each router the load that the other routers cause."""
         if not self.is_active:
             return
         for link in self._loads.routers():
@@ -126,7 +126,7 @@
                 self.forget_link(link)
 
     def apply(self, entry: replica.Entry) -> None:
-        """Applies a committed entry and answers its proposal."""
+        """Applies a committed entry and completes its proposal."""
         self.applied, self._applied_term = entry.index, entry.term
         result = None
         if entry.kind is replica.EntryKind.DATA:
@@ -158,7 +158,7 @@
                 self._routers.pop(link, None)
 
     def update_role(self) -> None:
-        """Starts and ends the leader's duties."""
+        """Starts or stops acting as the leader with the replica's role."""
         is_leader = self._replica.leader_since is not None
         if is_leader and self._active_term != self._replica.term:
             self._leases = LeaseTable(self._replica.leader_since, self._lease_s)
@@ -174,10 +174,10 @@
             self._proposals.clear()
 
     def _can_serve(self) -> bool:
-        """Tells whether this member may answer for the system now.
+        """Returns whether this member may answer as the leader now.
 
-        A new leader knows all committed entries only once one of its own term
-        is applied.
+        A new leader knows all committed entries only once an entry of its own
+        term is applied.
         """
         now = self._clock.now()
         return (
@@ -194,7 +194,7 @@
         return control.Redirect(leader, address)
 
     def addresses(self) -> tuple[control.MemberAddress, ...]:
-        """Returns where the members listen."""
+        """Returns the addresses of the members."""
         return tuple(
             control.MemberAddress(m.name, m.host, m.port)
             for m in self._replica.members
@@ -203,7 +203,7 @@
     def renew(
         self, link: links.Link, renew: control.Renew
     ) -> control.Grant | control.Redirect:
-        """Grants a lease and sends what the router lacks."""
+        """Grants a lease and returns the changes that the router lacks."""
         if not self._can_serve():
             return self._redirect()
         now = self._clock.now()
@@ -248,7 +248,7 @@
     async def heartbeat(
         self, message: control.Heartbeat
     ) -> control.HeartbeatNoted | control.Refused | control.Redirect:
-        """Notes a heartbeat and stores what it changes."""
+        """Processes a heartbeat and commits the changes that it brings."""
         if not self._can_serve():
             return self._redirect()
         try:
@@ -257,14 +257,14 @@
             return self._redirect()
 
     async def drop_silent(self) -> None:
-        """Takes endpoints out of use that were not heard for too long."""
+        """Marks endpoints whose heartbeats have stopped as silent."""
         if self._can_serve():
             await self.endpoints.drop_silent()
 
     def register_joining(
         self, join: control.Join
     ) -> control.Joining | control.Redirect:
-        """Notes a member that wants to be in the group."""
+        """Registers a member that wants to join the group."""
         if not self._can_serve():
             return self._redirect()
         self._replica.note_peer(join.name, join.identity, join.host, join.port)
@@ -273,7 +273,7 @@
     async def submit(
         self, data: bytes, in_force: bool = True
     ) -> control.Result | control.Refused | control.Redirect:
-        """Commits a command; waits until it is in force if it must be."""
+        """Commits a command and, if required, waits until it is in force."""
         if not self._can_serve():
             return self._redirect()
         command = COMMANDS.decode(data)
@@ -282,31 +282,35 @@
         try:
             result = await self._propose(self._with_timestamp(command))
         except ReplicaError:
-            # Nothing was appended, so the order may go to another member.
+            # Nothing was appended, so the client may send the command to
+            # another member.
             return self._redirect()
         if result is None:
             return control.Refused(
-                "unknown_outcome", "the leader changed before the commit"
+                "unknown_outcome",
+                "the leader changed or the command timed out before the commit",
             )
         _log_command(command, result)
         result = await self._resolve_reservation(command, result)
         must_wait = in_force and self._must_be_in_force(command, result)
         if must_wait and not await self._wait_until_in_force():
             return control.Refused(
-                "unknown_outcome", "the change is not in force everywhere yet"
+                "unknown_outcome",
+                "the change is committed but not yet in force on every router",
             )
         return control.Result(RESULTS.encode(result))
 
     async def _early_reply(
         self, command: object
     ) -> control.Refused | control.Result | None:
-        """Returns the answer to a command that must not enter the log."""
+        """Returns the reply to a command that must not enter the log."""
         match command:
             case PutRules(text=text):
                 try:
                     await run_steps(parse_steps(text))
                 except RuleError as exc:
-                    # Once committed, a faulty file would stop every router.
+                    # Every router would fail to apply a faulty rule file
+                    # once it is committed.
                     reason = "; ".join(exc.faults[:MAX_REPORTED_FAULTS])
                     return control.Refused("refused", reason)
             case TakeOrders() if self._orders_held_by_other(command):
@@ -319,7 +323,7 @@
         return command
 
     def _orders_held_by_other(self, command: TakeOrders) -> bool:
-        """Tells whether another router may still give orders to endpoints."""
+        """Returns whether another router may still send orders to endpoints."""
         holder = self._state.orders_holder
         return holder not in ("", command.holder) and self._leases.holds(
             holder, self._clock.now()
@@ -333,7 +337,7 @@
         return self._timestamps.timestamp(self._clock.now())
 
     async def _propose(self, command: object) -> object | None:
-        """Commits a command; returns None if the outcome is not known.
+        """Commits a command; returns None if the outcome is unknown.
 
         Raises:
             ReplicaError: Nothing was appended to the log.
@@ -353,10 +357,11 @@
     async def _resolve_reservation(
         self, command: object, result: object
     ) -> object:
-        """Ends a reservation whose router can send no more.
+        """Abandons a reservation whose router no longer holds a lease.
 
-        The holder checks its lease right before it sends. Once the lease is
-        over it has either sent the call or never will, and only it can know.
+        The holder checks its lease right before it sends a call. Once the
+        lease has expired, the holder has either sent the call or never will,
+        and the leader cannot know which.
         """
         match result:
             case RecordFound(record=record) if (
@@ -384,7 +389,10 @@
         return False
 
     async def _wait_until_in_force(self) -> bool:
-        """Waits until each router has applied the log up to now."""
+        """Waits until each router has applied the log up to `applied`.
+
+        Returns False at a timeout or a change of the leader.
+        """
         index, term = self.applied, self._replica.term
         with anyio.move_on_after(IN_FORCE_TIMEOUT_S):
             while self._can_serve() and self._replica.term == term:
@@ -424,7 +432,7 @@
 
 
 def _log_command(command: object, result: object) -> None:
-    """Logs operators' orders; a resend is logged again."""
+    """Logs operators' commands; a retry is logged again."""
     match command, result:
         case PutRules(request_id=request), RulesAccepted(version=version):
             log("rules_accepted", version=version, request=request)
--- a/knapweedarch/lease_keeper.py
+++ b/knapweedarch/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps a router's lease and takes over what the grants bring."""
+"""Renews a router's lease and applies the changes in its grants."""
 
 import random
 from collections.abc import Awaitable, Callable, Sequence
@@ -19,18 +19,18 @@
 
 
 class LeaseKeeper:
-    """Renews the lease each `RENEW_INTERVAL_S` and when something changed.
+    """Renews the lease every `RENEW_INTERVAL_S` and after a change.
 
     Attributes:
         lease: The lease.
-        rules_version: Version of the rules taken over.
+        rules_version: Version of the rules last applied.
         on_rules: Called with version and text of new rules; raises
             `ControlError` if they cannot be applied.
         on_endpoints: Called with changed endpoints.
         on_routers: Called with the number of routers that hold a lease.
-        deployment_version: Number of the routing configuration taken over.
+        deployment_version: Version of the routing configuration last applied.
         on_deployment: Called with a new routing configuration.
-        on_weights: Called with the weights versions named, by model.
+        on_weights: Called with the requested weights versions, by model.
         on_members: Called with the addresses of the members.
         on_granted: Called after each grant.
     """
@@ -69,14 +69,15 @@
         self._renewal_due = anyio.Event()
 
     def subscribe(self, timers: Timers) -> None:
-        """Subscribes to the timers."""
-        # Routers that restart together would otherwise renew in step for good.
+        """Registers the periodic renewal and expiry check with the timers."""
+        # Jitter: routers that restart together would otherwise renew at the
+        # same moments permanently.
         period = RENEW_INTERVAL_S * self._random.uniform(0.8, 1.0)
         timers.every(period, lambda now: self.renew_soon())
         timers.every(EXPIRY_CHECK_INTERVAL_S, self._check_expiry)
 
     def renew_soon(self) -> None:
-        """Renews as soon as the running renewal has ended."""
+        """Renews as soon as a renewal in progress has ended."""
         self._renewal_due.set()
 
     async def run(self) -> None:
@@ -90,12 +91,13 @@
                 log("lease_renewal_failed", reason=exc.reason)
                 await anyio.sleep(self._random.uniform(0.02, 0.1))
                 continue
-            # The leader waits to hear that a change is applied here.
+            # After a change renew at once: the leader waits for the
+            # confirmation that this router has applied it.
             if not changed:
                 await self._renewal_due.wait()
 
     async def _renew(self) -> bool:
-        """Renews the lease; tells whether the grant brought changes."""
+        """Renews the lease; returns whether the grant brought changes."""
         sent_at = self._clock.now()
         grant = await self._control.ask(
             Renew(
@@ -109,7 +111,8 @@
             RENEW_TIMEOUT_S,
         )
         if grant.applied < self._applied:
-            # Only a group that lost its log answers so; its state is older.
+            # Happens only if the group lost its log; its state is older than
+            # the one applied here.
             log("grant_older", applied=self._applied, granted=grant.applied)
             return False
         changed = await self._apply_grant(grant)
--- a/knapweedarch/leases.py
+++ b/knapweedarch/leases.py
@@ -1,9 +1,9 @@
-"""Router leases: the leader's table and the holder's side.
+"""Router leases: the leader's table and the holder's lease.
 
-A router may start new work only while its lease holds. The leader answers a
-change as in force once every router with a running lease has applied it. The
-two ends measure on their own clocks, so the leader counts a little longer
-than the holder.
+A router may start new work only while it holds its lease. The leader reports
+a change as in force once every router with an unexpired lease has applied it.
+Leader and holder each use their own clock, so the leader lets a lease expire
+later than the holder does, by the maximum clock drift.
 """
 
 import attrs
@@ -24,8 +24,8 @@
     """Leases granted by one leader in one term.
 
     Args:
-        leader_since: When the leader took office, in seconds.
-        lease_s: Duration of a lease in seconds; the same at every member.
+        leader_since: Start of the leader's term, in seconds.
+        lease_s: Duration of a lease in seconds; equal on every member.
     """
 
     def __init__(self, leader_since: float, lease_s: float = LEASE_S):
@@ -37,11 +37,12 @@
         self._in_force = 0
 
     def grant(self, holder: str, applied: int, now: float) -> float:
-        """Notes a renewal by a router that has applied `applied`.
+        """Grants or renews the lease of a router that has applied `applied`.
 
-        A lease does not run past the time by which a waiting change that the
-        router lacks must be in force. Else a router that renews but cannot
-        hear or apply a change would hold it up for ever.
+        While a change that the router has not applied is pending, the lease
+        ends at the latest one lease duration after the first `in_force` call
+        for that change. Otherwise a router that renews but never receives or
+        applies a change would block it forever.
 
         Returns:
             Duration of the lease in seconds, at most `lease_s`.
@@ -57,10 +58,10 @@
         return max(0.0, until - now) * (self._lease_s / self._grant_s)
 
     def holds(self, holder: str, now: float) -> bool:
-        """Tells whether a router may still hold a lease.
+        """Returns whether a router may still hold a lease.
 
-        A new leader knows no grants of its predecessor and takes every router
-        for a holder until they must have run out.
+        A new leader does not know the grants of its predecessor and treats
+        every router as a holder until all of them must have expired.
         """
         if now < self._prior_grants_end:
             return True
@@ -68,10 +69,10 @@
         return current is not None and now < current.until
 
     def in_force(self, index: int, now: float) -> bool:
-        """Tells whether each router has applied `index` or has no lease.
+        """Returns whether each router has applied `index` or has no lease.
 
-        The caller has committed `index` and asks until the answer is yes. It
-        then stays so, because every later answer to a renewal brings it.
+        The caller has committed `index` and polls until this returns True. It
+        then stays True, because every later grant includes the change.
         """
         if index <= self._in_force:
             return True
@@ -84,39 +85,40 @@
         return True
 
     def waiting_for(self, index: int, now: float) -> list[str]:
-        """Lists routers with a running lease that have not applied `index`."""
+        """Lists routers with an unexpired lease that lack `index`."""
         expired = [h for h, g in self._grants.items() if g.until <= now]
         for holder in expired:
             del self._grants[holder]
         return [h for h, g in self._grants.items() if g.applied < index]
 
     def next_expiry(self, now: float) -> float:
-        """Returns when `in_force` may change by time alone, in seconds."""
+        """Returns when an expiry can next change `in_force`, in seconds."""
         times = [g.until for g in self._grants.values() if g.until > now]
         if now < self._prior_grants_end:
             times.append(self._prior_grants_end)
         return min(times, default=now + self._grant_s)
 
     def count(self, now: float) -> int:
-        """Counts the routers with a running lease."""
+        """Counts the routers with an unexpired lease."""
         return sum(g.until > now for g in self._grants.values())
 
 
 @attrs.define
 class Lease:
-    """The holder's side.
+    """Lease of a router, as the router itself sees it.
 
     Attributes:
-        until: End of the lease on the holder's clock, in seconds.
-        epoch: Number of times that the lease began anew after a lapse. What
-            was entitled in one epoch may belong to another router in the next.
+        until: Expiry of the lease on the holder's clock, in seconds.
+        epoch: Number of times that the lease was granted after it had
+            expired. A right acquired in one epoch may belong to another
+            router in the next.
     """
 
     until: float = 0.0
     epoch: int = 0
 
     def left_s(self, now: float) -> float:
-        """Returns the seconds until the lease ends; 0 when it has."""
+        """Returns the seconds until the lease expires, or 0 if it has."""
         return max(0.0, self.until - now)
 
     def granted(
@@ -124,12 +126,12 @@
     ) -> None:
         """Extends the lease, counted from when the renewal was sent.
 
-        A grant that was delayed on its way is thereby short or void.
+        A delayed grant therefore extends the lease by less, or not at all.
         """
         if now >= self.until:
             self.epoch += 1
         self.until = max(self.until, requested_at + duration_s)
 
     def holds(self, now: float) -> bool:
-        """Tells whether new work may start now."""
+        """Returns whether new work may start at `now`."""
         return now < self.until
--- a/knapweedarch/member.py
+++ b/knapweedarch/member.py
@@ -1,4 +1,4 @@
-"""Member daemon: a replica with its journal and its links."""
+"""Member daemon: a replica with its journal and its links to other members."""
 
 from collections.abc import Iterable
 
@@ -36,7 +36,7 @@
 
 
 class Member:
-    """One durable control member."""
+    """A control member with durable state."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self.port = 0
 
     def _load_journal(self) -> None:
-        """Creates replica and state from the journal."""
+        """Creates the replica and the state from the journal."""
         restored = self._journal.restored
         name = self._settings.name
         self._replica = replica.create_replica(
@@ -73,8 +73,9 @@
             restored,
             seed=int(self._journal.identity, 16),
         )
-        # What an earlier process promised ended, at the latest, this long
-        # after this one started. Imports take a third of that time.
+        # The commitments of an earlier process of this member end, at the
+        # latest, a fixed time after this process started. Counting from here
+        # would lengthen the wait: imports take a third of that time.
         self._replica.tick(self._started_at)
         self._leader = Leader(
             *(name, self._replica, self._state, self._clock),
@@ -114,7 +115,7 @@
             self._journal.close()
 
     async def submit(self, command: object, timeout_s: float) -> object:
-        """Submits a command to the leader, which may be this member.
+        """Submits a command to the leader, possibly this member.
 
         Raises:
             ControlError: See `control.ControlClient.submit`.
@@ -130,30 +131,30 @@
         return await self._control.ask(message, timeout_s)
 
     def set_seeds(self, seeds: Iterable[Address]) -> None:
-        """Takes over the seeds of changed settings."""
+        """Adds the seeds of changed settings."""
         self._control.add_members(seed_addresses(seeds))
 
     @property
     def leader(self) -> Leader:
-        """Duties of the leader; in office only while this member leads."""
+        """Leader of the group; active only while this member leads."""
         return self._leader
 
     @property
     def state(self) -> ControlState:
-        """State of the log as far as it is applied here."""
+        """State after the log entries that this member has applied."""
         return self._state
 
     @property
     def term(self) -> int:
-        """Term of this member."""
+        """Current term of this member."""
         return self._replica.term
 
     def leads_until(self) -> float:
-        """Returns the end of the leader lease; 0.0 when it does not hold."""
+        """Returns the end of the leader lease, or 0.0 if it is not held."""
         return self._replica.leads_until(self._clock.now())
 
     async def _form_or_join(self) -> None:
-        """Forms the group, or joins it when this member is in none."""
+        """Forms the group, or joins it if this member is in no group."""
         while True:
             try:
                 if self._should_form():
@@ -172,9 +173,10 @@
             await anyio.sleep(JOIN_INTERVAL_S)
 
     def _should_form(self) -> bool:
-        """Tells whether this member is the first seed of a new deployment.
+        """Returns whether this member must form the group.
 
-        Only one of the seeds forms the group, so that it is formed once.
+        Only the first seed of a new deployment does, so that the group is
+        formed once.
         """
         seeds = sorted(self._settings.seeds, key=lambda s: (s.host, s.port))
         return (
@@ -199,7 +201,7 @@
         self._set_peers(joining.members)
 
     def _set_peers(self, addresses: Iterable[control.MemberAddress]) -> None:
-        """Keeps links to these members and to no others."""
+        """Maintains links to these members and to no others."""
         target = {a for a in addresses if a.name != self._settings.name}
         for address in self._peer_tasks.keys() - target:
             self._peer_tasks.pop(address).cancel()
@@ -208,7 +210,7 @@
             self._group.start_soon(self._maintain_peer, address)
 
     def _apply_member_list(self) -> None:
-        """Takes over the addresses of the member list, once there is one."""
+        """Applies the addresses of the member list if they changed."""
         addresses = self._leader.addresses()
         if self._settings.seeds and addresses != self._addresses:
             self._addresses = addresses
@@ -220,12 +222,13 @@
         self._group.start_soon(self._leader.drop_silent)
 
     async def prepare_stop(self) -> None:
-        """Hands the office to another member before a planned stop."""
+        """Transfers the leadership to another member before a planned stop."""
         until = self._clock.now() + HAND_OVER_TIMEOUT_S
         while self._leader.is_active and self._clock.now() < until:
             if self._leader.idle and self._replica.hand_over(self._clock.now()):
                 self._work.set()
-                # The driver saves and sends before the process ends.
+                # Time to save the output and send the messages of the
+                # handover before the process ends.
                 await anyio.sleep(TICK_S)
                 return
             await anyio.sleep(TICK_S / 2)
@@ -248,7 +251,7 @@
             del self._peers[name]
 
     async def _maintain_peer(self, address: control.MemberAddress) -> None:
-        """Keeps an outgoing link to another member."""
+        """Maintains an outgoing link until the member is removed."""
         with self._peer_tasks[address]:
             await self._reconnect_peer(address)
 
@@ -276,7 +279,7 @@
             await anyio.sleep(RECONNECT_DELAY_S)
 
     async def _run_replica(self) -> None:
-        """Takes the replica's output: journal first, then messages."""
+        """Processes the replica's output: journal first, then messages."""
         while True:
             await self._work.wait()
             self._work = anyio.Event()
@@ -375,8 +378,9 @@
     ) -> None:
         for address in self._settings.members or self._leader.addresses():
             if address.name == name:
-                # It could be reached before this member can reach it: a
-                # connection that was begun while it had no power still hangs.
+                # Messages use the incoming link until the outgoing one is
+                # connected: a connection attempt that began while the other
+                # instance had no power may still hang.
                 self._peers.setdefault(name, link)
                 self._replica.note_peer(
                     name, identity, address.host, address.port
@@ -391,7 +395,8 @@
             if same_group:
                 return control.Formed()
             return control.Refused(
-                "refused", f"member {self._settings.name} is in another group"
+                "refused",
+                f"member {self._settings.name} belongs to another group",
             )
         self._journal.form(
             tuple(
@@ -410,13 +415,13 @@
     metrics: Metrics,
     started_at: float | None = None,
 ) -> Member:
-    """Creates a member; opens its journal.
+    """Opens the journal and creates a member.
 
     Args:
-        settings: Settings.
+        settings: Settings of the member.
         clock: Time source.
-        metrics: Counters of the process.
-        started_at: When the process started, on the clock; now if None.
+        metrics: Metrics of the process.
+        started_at: Start of the process on the clock; now if None.
 
     Raises:
         JournalError: The journal is corrupt or cannot be opened.
@@ -429,9 +434,9 @@
 async def open_member(
     settings: MemberSettings, clock: Clock, metrics: Metrics
 ) -> Member:
-    """Creates a member; waits while its disk has no room for the journal.
+    """Creates a member; waits while the disk has no room for the journal.
 
-    A member that ended instead would be started again and again.
+    A member that exited instead would be restarted repeatedly.
 
     Raises:
         JournalError: The journal is corrupt or cannot be opened.
--- a/knapweedarch/records.py
+++ b/knapweedarch/records.py
@@ -8,12 +8,13 @@
 
 RECORD_RETENTION_S = 24 * 3600.0
 MAX_RECORDS = 50_000
-# Bounds memory and the pause for a snapshot; one answer is at most 64 KiB.
+# Bounds memory and the time that a snapshot takes; one answer is at most
+# 64 KiB.
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 
 
 class RecordStatus(str, enum.Enum):
-    """Progress of a call that may run at most once."""
+    """Status of a call that may run at most once."""
 
     RESERVED = "reserved"
     DONE = "done"
@@ -26,13 +27,13 @@
 
     Attributes:
         body_digest: SHA-256 of method, path and body.
-        holder: `incarnation/call` of the router and the one call in it that
-            is entitled to be sent.
-        status: Progress.
-        reserved_at: Stamp of the reservation in seconds.
-        code: HTTP status of the answer when done.
-        content_type: Media type of the answer when done.
-        answer: Body of the answer when done.
+        holder: `incarnation/call` of the router and of the only call in it
+            that may be sent.
+        status: Status of the call.
+        reserved_at: Timestamp of the reservation in seconds.
+        code: HTTP status of the answer if `DONE`.
+        content_type: Media type of the answer if `DONE`.
+        answer: Body of the answer if `DONE`.
     """
 
     body_digest: bytes
@@ -46,13 +47,13 @@
 
 @attrs.frozen
 class Reserve:
-    """A router asks for the right to send a call that may run at most once.
+    """Reserves an idempotency key for a call that may run at most once.
 
     Attributes:
         record_key: Customer, service and idempotency key; see `record_key`.
         body_digest: SHA-256 of method, path and body.
-        holder: `incarnation/call` of the router and this call.
-        at: Stamp of the leader in seconds.
+        holder: `incarnation/call` of the router and of this call.
+        at: Timestamp of the leader in seconds.
     """
 
     record_key: str
@@ -63,12 +64,12 @@
 
 @attrs.frozen
 class Settle:
-    """The holder of a reservation tells how the call ended.
+    """Records the outcome of a call; sent by the holder of its reservation.
 
     Attributes:
         record_key: Customer, service and idempotency key.
         holder: Holder as in `Reserve`.
-        status: `DONE` or `UNKNOWN`; None when the call was not run.
+        status: `DONE` or `UNKNOWN`; None if the call did not run.
         code: HTTP status of the answer.
         content_type: Media type of the answer.
         answer: Body of the answer.
@@ -84,7 +85,7 @@
 
 @attrs.frozen
 class Abandon:
-    """The leader saw the lease of a router end: its open calls are unknown.
+    """Sets the open calls of a router to `UNKNOWN` after its lease expired.
 
     Attributes:
         incarnation: Incarnation of the router.
@@ -95,7 +96,7 @@
 
 @attrs.frozen
 class TableFull:
-    """A bounded table has no place left."""
+    """A bounded table has no room for another entry."""
 
 
 @attrs.frozen
@@ -116,11 +117,11 @@
 
 
 class RecordTable:
-    """The records of all keys, oldest first.
+    """At-most-once records of all keys.
 
     Attributes:
-        records: Records by key.
-        last_stamp: Newest stamp of the log in seconds.
+        records: Records by key, oldest first.
+        last_stamp: Newest timestamp of the log in seconds.
     """
 
     def __init__(self):
@@ -157,7 +158,7 @@
             self._answer_bytes -= len(self.records.pop(key).answer)
 
     def settle(self, command: Settle) -> Settled:
-        """Records the end of a call, told by the holder of its key."""
+        """Records the outcome of a call if its holder reports it."""
         record = self.records.get(command.record_key)
         if (
             record is None
@@ -166,8 +167,8 @@
         ):
             return Settled()
         if command.status is None:
-            # A resend may already have been told that the outcome is unknown;
-            # such a key is never sent again.
+            # If the outcome is unknown, a retry may already have been answered
+            # so; the key is then kept, so that it is never sent again.
             if record.status is RecordStatus.RESERVED:
                 del self.records[command.record_key]
             return Settled()
@@ -182,7 +183,7 @@
         return Settled()
 
     def abandon(self, incarnation: str) -> Settled:
-        """Records the open calls of a router as unknown."""
+        """Records the outcome of the open calls of a router as unknown."""
         for key, record in self.records.items():
             if (
                 record.holder.partition("/")[0] == incarnation
@@ -194,10 +195,11 @@
         return Settled()
 
     def pack(self) -> bytes:
-        """Encodes the records; a general converter took ten times as long.
+        """Encodes the records.
 
-        The member does nothing else meanwhile, and a pause of 0.6 s costs a
-        leader its office.
+        Encodes field by field, which takes a tenth of the time of the generic
+        codec. The member is blocked meanwhile, and a leader that is blocked
+        for 0.6 s loses its leadership.
         """
         return msgpack.packb(
             [
@@ -210,7 +212,7 @@
         )
 
     def unpack(self, data: bytes, last_stamp: float) -> None:
-        """Replaces the records by encoded ones."""
+        """Replaces the records with decoded ones."""
         self.last_stamp = last_stamp
         self.records = OrderedDict(
             (key, Record(digest, holder, RecordStatus(status), *rest))
@@ -221,25 +223,25 @@
 
 @attrs.frozen
 class TimestampSource:
-    """Makes the stamps of one leader; they continue those of the log.
+    """Creates the timestamps of one leader, which continue those of the log.
 
     Clocks of different instances are not comparable: a leader whose clock is
     a day ahead would drop every record, and their calls could run again. Time
     without a leader is not counted, which only keeps records longer.
 
     Attributes:
-        last_stamp: Newest stamp of the log when the leader took office.
-        leader_since: When it took office on its own clock, in seconds.
+        last_stamp: Newest timestamp of the log at the start of the term.
+        leader_since: Start of the term on the leader's clock, in seconds.
     """
 
     last_stamp: float
     leader_since: float
 
     def timestamp(self, now: float) -> float:
-        """Returns the stamp for a command proposed now."""
+        """Returns the timestamp for a command that is proposed at `now`."""
         return self.last_stamp + max(0.0, now - self.leader_since)
 
 
 def record_key(customer: str, service: str, key: str) -> str:
-    """Builds the key of an at-most-once record without ambiguity."""
+    """Builds the unambiguous key of an at-most-once record."""
     return msgpack.packb([customer, service, key]).hex()
--- a/knapweedarch/settings_watch.py
+++ b/knapweedarch/settings_watch.py
@@ -1,4 +1,4 @@
-"""Follows a settings file that changes while the process runs."""
+"""Reloads a settings file that changes while the process runs."""
 
 import signal
 from collections.abc import Callable
@@ -19,13 +19,13 @@
 ) -> None:
     """Applies changed settings until cancelled.
 
-    The file is read again at SIGHUP, and each `POLL_INTERVAL_S` since it may
-    change without a signal. Settings that are refused leave the old ones in
+    The file is read again at SIGHUP and every `POLL_INTERVAL_S`, because it
+    may change without a signal. Invalid settings leave the previous ones in
     force.
 
     Args:
         read: Reads the settings; raises `SettingsError`.
-        apply: Called with settings that differ from the last ones.
+        apply: Called with settings that differ from the previous ones.
     """
     current = read()
     with anyio.open_signal_receiver(signal.SIGHUP) as signals:
--- a/knapweedarch/state.py
+++ b/knapweedarch/state.py
@@ -1,8 +1,8 @@
 """Replicated state machine: rules, endpoints and at-most-once records.
 
-Every member applies the same commands in the same order. Nothing here reads a
-clock: the leader stamps commands that need a time, and the stamp is used only
-to decide how long records are kept.
+Every member applies the same commands in the same order. Nothing in this
+module reads a clock: the leader adds a timestamp to the commands that need
+one, and the timestamp only decides how long records are kept.
 """
 
 import hashlib
@@ -96,7 +96,7 @@
 
 @attrs.frozen
 class _StoredAnswer:
-    """The first answer to an order, and which order it was."""
+    """Result of the first request with a request id, and its digest."""
 
     order_digest: bytes
     result: bytes
@@ -122,16 +122,16 @@
 
 
 class ControlState:
-    """The state that all members agree on.
+    """State that the members replicate.
 
     Attributes:
-        rules_version: Version of the rule file; 0 before the first one.
+        rules_version: Version of the rule file; 0 if none was accepted yet.
         rules_text: Text of the rule file.
         revision: Revision of the endpoint table.
-        endpoints: Endpoints by name.
-        deployment: Routing configuration; None before the first one.
-        document: The configuration as the operator wrote it.
-        weights: Highest weights version named, by model.
+        endpoints: Endpoints by id.
+        deployment: Routing configuration; None if none was accepted yet.
+        document: Source text of the routing configuration.
+        weights: Highest requested weights version, by model.
     """
 
     def __init__(self):
@@ -185,7 +185,7 @@
                 return self._name_weights(model, version)
             case ChangeStatus():
                 return self._change_status(command)
-        raise AssertionError(f"no such command: {command}")
+        raise AssertionError(f"unknown command: {command}")
 
     def _put_deployment(self, command: PutDeployment) -> DeploymentAccepted:
         current_version = self.deployment.version if self.deployment else 0
@@ -244,7 +244,8 @@
             and not command.by_operator
         )
         if retired or departed:
-            # An announcement sent before the endpoint left may arrive late.
+            # A delayed announcement from before the endpoint was retired or
+            # shut down must not reactivate it.
             endpoint = attrs.evolve(endpoint, status=EndpointStatus.LEAVING)
         elif not restarted and is_still_loading(known.endpoint, endpoint):
             endpoint = attrs.evolve(endpoint, status=EndpointStatus.LOADING)
@@ -258,7 +259,10 @@
         return EndpointAccepted(self.revision, endpoint.status)
 
     def _make_room(self) -> bool:
-        """Drops the endpoint that left first if the table is full."""
+        """Evicts the endpoint that left first if the table is full.
+
+        Returns False if every endpoint is still in use.
+        """
         if len(self.endpoints) < MAX_ENDPOINTS:
             return True
         departed = [
@@ -305,7 +309,7 @@
 
     @property
     def last_stamp(self) -> float:
-        """Newest stamp of the log in seconds."""
+        """Newest timestamp of the log in seconds."""
         return self._records.last_stamp
 
     @property
@@ -314,9 +318,10 @@
         return self._records.records
 
     def changes_since(self, revision: int) -> tuple[EndpointEntry, ...]:
-        """Returns the endpoints changed after a revision."""
+        """Returns the endpoints that changed after a revision."""
         if revision == self.revision:
-            # Nearly every renewal; the leader answers hundreds a second.
+            # The case of nearly every renewal; the leader answers hundreds
+            # of renewals per second.
             return ()
         return tuple(
             entry
@@ -325,7 +330,7 @@
         )
 
     def snapshot(self) -> bytes:
-        """Encodes the whole state."""
+        """Encodes the complete state."""
         return _SNAPSHOTS.encode(
             _Snapshot(
                 self.rules_version,
@@ -344,7 +349,7 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the whole state by an encoded one."""
+        """Replaces the complete state with a decoded snapshot."""
         decoded = _SNAPSHOTS.decode(data)
         self.rules_version = decoded.rules_version
         self.rules_text = decoded.rules_text
@@ -360,9 +365,9 @@
 
 
 def is_still_loading(known: Endpoint, announced: Endpoint) -> bool:
-    """Tells whether an endpoint that loads weights has not ended that yet.
+    """Returns whether an endpoint has not finished loading weights.
 
-    It goes on announcing itself as active meanwhile.
+    It keeps announcing itself as active while it loads them.
     """
     return (
         known.status is EndpointStatus.LOADING
--- a/knapweedarch/state_commands.py
+++ b/knapweedarch/state_commands.py
@@ -1,4 +1,4 @@
-"""Commands to the replicated state, and their results."""
+"""Commands of the replicated state machine and their results."""
 
 import attrs
 
@@ -21,9 +21,9 @@
     """Replaces the rule file.
 
     Attributes:
-        request_id: Identity of the order; a resend repeats it.
+        request_id: Identifier of the request; a retry repeats it.
         base_version: Version that the operator's file is based on.
-        text: The checked rule file.
+        text: The validated rule file.
     """
 
     request_id: str
@@ -33,12 +33,14 @@
 
 @attrs.frozen
 class Announce:
-    """An endpoint announces itself, or an operator announces it again.
+    """Registers an endpoint; from an operator, it also ends a retirement.
 
     Attributes:
-        endpoint: What the endpoint says of itself.
-        by_operator: Whether an operator ends an earlier retirement.
-        request_id: Identity of the order; empty when an endpoint announces.
+        endpoint: The endpoint as it describes itself.
+        by_operator: Whether an operator sent it, which ends an earlier
+            retirement.
+        request_id: Identifier of the operator's request; empty if the
+            endpoint announces itself.
     """
 
     endpoint: Endpoint
@@ -48,7 +50,7 @@
 
 @attrs.frozen
 class Retire:
-    """An operator retires an endpoint until an operator announces it again."""
+    """Takes an endpoint out of use until an operator announces it again."""
 
     request_id: str
     endpoint_id: str
@@ -56,7 +58,7 @@
 
 @attrs.frozen
 class TakeOrders:
-    """A router asks for the sole right to give orders to endpoints.
+    """Requests the exclusive right of one router to send orders to endpoints.
 
     Attributes:
         holder: Incarnation of the router.
@@ -67,14 +69,14 @@
 
 @attrs.frozen
 class PutDeployment:
-    """Submits a whole routing configuration under its number.
+    """Replaces the routing configuration.
 
-    A number that is not above the one in force changes nothing, so a resend
-    and a late order are accepted without effect.
+    A version that is not above the current one changes nothing, so a retry
+    and a delayed request are accepted without effect.
 
     Attributes:
-        deployment: The checked configuration.
-        document: The configuration as the operator wrote it.
+        deployment: The validated configuration.
+        document: Source text of the configuration.
     """
 
     deployment: Deployment
@@ -83,7 +85,7 @@
 
 @attrs.frozen
 class NameWeights:
-    """Names the weights version that the runners of a model are to reach."""
+    """Sets the weights version that the runners of a model must load."""
 
     model: str
     version: int
@@ -95,8 +97,9 @@
 
     Attributes:
         endpoint_id: The endpoint.
-        incarnation: Incarnation that is meant; another one stays as it is.
-            Empty for the one that is known when the command is applied.
+        incarnation: Incarnation to change; any other one is unaffected.
+            Empty for the incarnation that is current when the command is
+            applied.
         status: The new status.
     """
 
@@ -107,10 +110,10 @@
 
 @attrs.frozen
 class DeploymentAccepted:
-    """The configuration is stored, or a higher number is in force.
+    """The configuration is stored, or a higher version is in force.
 
     Attributes:
-        version: Number of the configuration in force.
+        version: Version of the configuration in force.
     """
 
     version: int
@@ -118,10 +121,10 @@
 
 @attrs.frozen
 class WeightsNamed:
-    """The weights version is recorded, or a higher one is.
+    """The weights version is recorded, or a higher one already was.
 
     Attributes:
-        version: Highest version named for the model.
+        version: Highest version requested for the model.
     """
 
     version: int
@@ -136,18 +139,18 @@
 
 @attrs.frozen
 class RulesConflict:
-    """The rule file was based on a version that is no longer current."""
+    """The base version of the rule file is not the current version."""
 
     version: int
 
 
 @attrs.frozen
 class EndpointAccepted:
-    """The endpoint is known under this revision.
+    """The endpoint is registered.
 
     Attributes:
         revision: Revision of the endpoint table.
-        status: Status that the endpoint has now.
+        status: Current status of the endpoint.
     """
 
     revision: int
@@ -156,36 +159,36 @@
 
 @attrs.frozen
 class EndpointUnknown:
-    """No endpoint has this name."""
+    """No endpoint has this id, or not with this incarnation."""
 
 
 @attrs.frozen
 class RequestIdReused:
-    """The request id belongs to another order."""
+    """The request id was already used for a different request."""
 
 
 @attrs.frozen
 class OrdersTaken:
-    """The router is the holder of orders under this fencing number."""
+    """The router may send orders to endpoints under this fencing number."""
 
     fencing_number: int
 
 
 @attrs.frozen
 class OrdersHeld:
-    """Another router that may still hold a lease is the holder of orders."""
+    """Another router may send orders and may still hold its lease."""
 
 
 @attrs.frozen
 class EndpointEntry:
-    """An endpoint and the revision of its last change.
+    """An endpoint in the endpoint table.
 
     Attributes:
         endpoint: The endpoint as last announced.
         revision: Revision of the endpoint table at its last change.
         retired: Whether an operator retired it.
         superseded: Earlier incarnations, newest last. A delayed announcement
-            of one of them must not replace the current incarnation.
+            from one of them must not replace the current incarnation.
     """
 
     endpoint: Endpoint
