--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -370,7 +370,7 @@
 
 
 @then("a retry at {hours:g} h gets its answer")
-def resend_answered(context, hours):
+def retry_answered(context, hours):
     context.result = reserve(context, "key", hours * HOUR_S)
     answered(context)
 
@@ -382,7 +382,7 @@
 
 
 @then("a retry at {hours:g} h is a new call")
-def resend_new(context, hours):
+def retry_is_new(context, hours):
     assert reserve(context, "key", hours * HOUR_S) == Reserved()
 
 
@@ -414,7 +414,7 @@
     "a leader whose clock is {ahead:g} h ahead adds a timestamp to the retry "
     "{hours:g} h later"
 )
-def resend_with_timestamp(context, ahead, hours):
+def retry_with_timestamp(context, ahead, hours):
     since = ahead * HOUR_S
     timestamps = TimestampSource(context.state.last_stamp, since)
     at = timestamps.timestamp(since + hours * HOUR_S)
@@ -424,7 +424,7 @@
 @when(
     "the timestamp of the retry is taken from a clock that is {ahead:g} h ahead"
 )
-def resend_with_bare_clock(context, ahead):
+def retry_with_bare_clock(context, ahead):
     context.result = reserve(context, "key", ahead * HOUR_S)
 
 
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -34,7 +34,7 @@
 from knapweedarch.timers import Clock, ManualClock, Timers
 from standins.deployment import CREDENTIAL, ROOT, Deployment
 
-ORDER = state.PutRules("a", 0, "model guide  # asked by T: x\n")
+RULES_COMMAND = state.PutRules("a", 0, "model guide  # asked by T: x\n")
 
 
 def submit(members, command, timeout_s):
@@ -61,14 +61,14 @@
 
 @given("a member that drops the first command and redirects all later ones")
 def dropping_and_redirecting_member(context):
-    context.orders = 0
+    context.received_commands = 0
 
 
 @when("a command is submitted")
-def give_order(context):
+def submit_command(context):
     async def handle(link, message):
-        context.orders += 1
-        if context.orders == 1:
+        context.received_commands += 1
+        if context.received_commands == 1:
             link.close()
             return None
         return control.Redirect("")
@@ -87,13 +87,13 @@
             )
             async with client:
                 try:
-                    await client.submit(ORDER, 1.0)
+                    await client.submit(RULES_COMMAND, 1.0)
                 except ControlError as exc:
                     context.reason = exc.reason
             group.cancel_scope.cancel()
 
     anyio.run(run)
-    assert context.orders > 1, context.orders
+    assert context.received_commands > 1, context.received_commands
 
 
 @then("the command ends as {reason}")
@@ -104,18 +104,18 @@
 @given('the rules were replaced under request id "a"')
 def rules_replaced(context):
     context.machine = state.ControlState()
-    assert apply(context.machine, ORDER) == state.RulesAccepted(1)
+    assert apply(context.machine, RULES_COMMAND) == state.RulesAccepted(1)
 
 
 @then('the same command under request id "a" gets the first answer')
-def same_order(context):
-    assert apply(context.machine, ORDER) == state.RulesAccepted(1)
+def same_command_again(context):
+    assert apply(context.machine, RULES_COMMAND) == state.RulesAccepted(1)
     assert context.machine.rules_version == 1
 
 
 @then('another command under request id "a" is refused as RequestIdReused')
-def other_order(context):
-    other = attrs.evolve(ORDER, base_version=1)
+def other_command(context):
+    other = attrs.evolve(RULES_COMMAND, base_version=1)
     assert apply(context.machine, other) == state.RequestIdReused()
     assert context.machine.rules_version == 1
 
@@ -187,15 +187,15 @@
 
 @when("an operator submits rules that do not parse")
 def submit_faulty(context):
-    order = state.PutRules("b", 0, "modle guide\n")
-    context.reason = submit(context.members, order, 10)
+    command = state.PutRules("b", 0, "modle guide\n")
+    context.reason = submit(context.members, command, 10)
 
 
 @then("the rules version is still {version:d}")
 def still_version(context, version):
     # Based on `version`, so that it conflicts if the version has changed.
-    order = state.PutRules("c", version, ORDER.text)
-    result = submit(context.members, order, 10)
+    command = state.PutRules("c", version, RULES_COMMAND.text)
+    result = submit(context.members, command, 10)
     assert result == state.RulesAccepted(version + 1), result
 
 
@@ -234,18 +234,18 @@
 
 
 @then("its announcement is not forwarded")
-def no_news(context):
+def announcement_not_forwarded(context):
     assert not context.endpoints.is_news(context.known)
 
 
 @then("its announcement with another incarnation is forwarded")
-def incarnation_is_news(context):
+def new_incarnation_forwarded(context):
     changed = attrs.evolve(context.known, incarnation="other")
     assert context.endpoints.is_news(changed)
 
 
 @then("its announcement as leaving is forwarded until the members have it")
-def leaving_is_news(context):
+def leaving_status_forwarded(context):
     leaving = attrs.evolve(context.known, status=EndpointStatus.LEAVING)
     context.endpoints.update([state.EndpointEntry(leaving, 2)])
     assert context.endpoints.is_news(leaving)
--- a/features/steps/lease_schedule_steps.py
+++ b/features/steps/lease_schedule_steps.py
@@ -133,7 +133,7 @@
     def __init__(self, seed: int, table=LeaseTable, lease=Lease):
         self._random = random.Random(seed)
         self._table, self._lease = table, lease
-        self._now, self._order = 0.0, itertools.count()
+        self._now, self._sequence = 0.0, itertools.count()
         self._events: list = []
         self._committed = self._in_force = 0
         self.answered, self.longest_s = 0, 0.0
@@ -148,7 +148,7 @@
         return 1 + self._random.choice((-1, 0, 1)) * MAX_RATE_ERROR
 
     def _schedule(self, delay: float, step, *args) -> None:
-        item = (self._now + delay, next(self._order), step, args)
+        item = (self._now + delay, next(self._sequence), step, args)
         heapq.heappush(self._events, item)
 
     def _defer_if_frozen(self, process: Process, step, *args) -> bool:
@@ -403,18 +403,18 @@
     sent, first, accepted, texts = [], {}, {}, [""]
     for n in range(30):
         if sent and rng.random() < 0.5:
-            order = rng.choice(sent)
+            command = rng.choice(sent)
         else:
             base = max(0, state.rules_version - (rng.random() < 0.3))
-            order = PutRules(f"order {n}", base, f"file {n}")
-            sent.append(order)
+            command = PutRules(f"order {n}", base, f"file {n}")
+            sent.append(command)
         before = state.rules_text
-        answer = apply(state, order)
-        known = first.setdefault(order.request_id, answer)
-        assert answer == known, f"{order} got {answer} after {known}"
+        answer = apply(state, command)
+        known = first.setdefault(command.request_id, answer)
+        assert answer == known, f"{command} got {answer} after {known}"
         if isinstance(answer, RulesAccepted):
-            file = accepted.setdefault(order.base_version, order.text)
-            assert file == order.text, f"two files on {order.base_version}"
+            file = accepted.setdefault(command.base_version, command.text)
+            assert file == command.text, f"two files on {command.base_version}"
         if state.rules_text != before:
             assert state.rules_text not in texts, "an older text was restored"
             texts.append(state.rules_text)
--- a/knapweedarch/control.py
+++ b/knapweedarch/control.py
@@ -142,7 +142,7 @@
                 or `refused`.
         """
         message = Submit(COMMANDS.encode(command), in_force)
-        reply = await self.ask(message, timeout_s)
+        reply = await self.request(message, timeout_s)
         return RESULTS.decode(reply.result)
 
     async def status(self, timeout_s: float = 3.0) -> StatusReply:
@@ -151,9 +151,9 @@
         Raises:
             ControlError: No leader answered in time.
         """
-        return await self.ask(Query(), timeout_s)
+        return await self.request(Query(), timeout_s)
 
-    async def ask(self, message: object, timeout_s: float) -> object:
+    async def request(self, message: object, timeout_s: float) -> object:
         """Sends a message to the leader until it answers.
 
         Raises:
@@ -271,12 +271,12 @@
             key=lambda pair: pair[1].blank,
         )
         for member, _ in by_blank:
-            match await self._ask_member(member, group):
+            match await self._call_member(member, group):
                 case Refused(message=text):
                     raise ControlError("refused", text)
 
     async def _describe(self, member: MemberAddress) -> Description:
-        description = await self._ask_member(member, Describe())
+        description = await self._call_member(member, Describe())
         if member.name and description.name != member.name:
             raise ControlError(
                 "refused",
@@ -285,7 +285,7 @@
             )
         return description
 
-    async def _ask_member(self, member: MemberAddress, message: object):
+    async def _call_member(self, member: MemberAddress, message: object):
         try:
             link = await self._open(member)
             self._group.start_soon(link.run)
--- a/knapweedarch/leader.py
+++ b/knapweedarch/leader.py
@@ -102,7 +102,7 @@
         """Counts the routers with an unexpired lease."""
         return self._leases.count(now) if self._leases is not None else 0
 
-    def forget_link(self, link: links.Link) -> None:
+    def remove_link(self, link: links.Link) -> None:
         """Removes the state of a closed link."""
         self._routers.pop(link, None)
         self._loads.forget(link)
@@ -123,7 +123,7 @@
             try:
                 link.send(self._loads.others(link))
             except LinkError:
-                self.forget_link(link)
+                self.remove_link(link)
 
     def apply(self, entry: replica.Entry) -> None:
         """Applies a committed entry and completes its proposal."""
--- a/knapweedarch/lease_keeper.py
+++ b/knapweedarch/lease_keeper.py
@@ -99,7 +99,7 @@
     async def _renew(self) -> bool:
         """Renews the lease; returns whether the grant brought changes."""
         sent_at = self._clock.now()
-        grant = await self._control.ask(
+        grant = await self._control.request(
             Renew(
                 self._name,
                 self._incarnation,
--- a/knapweedarch/member.py
+++ b/knapweedarch/member.py
@@ -122,13 +122,13 @@
         """
         return await self._control.submit(command, timeout_s, in_force=False)
 
-    async def ask(self, message: object, timeout_s: float) -> object:
+    async def request(self, message: object, timeout_s: float) -> object:
         """Sends a message of `control_messages` to the leader.
 
         Raises:
-            ControlError: See `control.ControlClient.ask`.
+            ControlError: See `control.ControlClient.request`.
         """
-        return await self._control.ask(message, timeout_s)
+        return await self._control.request(message, timeout_s)
 
     def set_seeds(self, seeds: Iterable[Address]) -> None:
         """Adds the seeds of changed settings."""
@@ -191,7 +191,7 @@
 
     async def _join(self) -> None:
         listen = self._settings.listen
-        joining = await self._control.ask(
+        joining = await self._control.request(
             control.Join(
                 *(self._settings.name, self._journal.identity),
                 *(listen.host, self.port),
@@ -244,7 +244,7 @@
         log("link_refused", reason=str(exc))
 
     def _on_link_closed(self, link: links.Link) -> None:
-        self._leader.forget_link(link)
+        self._leader.remove_link(link)
         for name in [
             n for n, peer_link in self._peers.items() if peer_link is link
         ]:
