--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run seeded fault schedules on at-most-once records."""
+"""Steps that run seeded fault schedules against at-most-once records."""
 
 import random
 from collections import Counter
@@ -19,8 +19,8 @@
     Reserve,
     Reserved,
     Settle,
-    Stamper,
     TableFull,
+    TimestampSource,
 )
 
 STEPS = 120
@@ -38,7 +38,7 @@
 
 
 class FreeOnAbandon(ControlState):
-    """Frees the keys of a router whose lease ended."""
+    """Frees the keys of a router whose lease expired."""
 
     def _abandon(self, incarnation):
         result = super()._abandon(incarnation)
@@ -49,7 +49,7 @@
 
 
 class FreeOnLateNotRun(ControlState):
-    """Frees an unknown key when its holder says that it was not run."""
+    """Frees an unknown key if its holder reports that the call did not run."""
 
     def _settle(self, command):
         record = self.records.get(command.record_key)
@@ -60,12 +60,13 @@
 
 @attrs.define
 class Call:
-    """One caller's request at a router.
+    """A request of a caller to a router.
 
     Attributes:
-        phase: reserving, held, sent or closed.
-        epoch: Lease epoch of the router when it reserved.
-        told: What the caller was told: an answer, not_run or unknown.
+        phase: reserving, held or closed.
+        epoch: Lease epoch of the router at the reservation.
+        outcome: Outcome reported to the caller: an answer, not_run or
+            unknown.
     """
 
     key: str
@@ -73,36 +74,36 @@
     holder: str
     epoch: int
     phase: str = "reserving"
-    told: str = ""
+    outcome: str = ""
 
 
 @attrs.define
 class CallRouter:
-    """A router; `lease` is code under test.
+    """A router; `lease` is the code under test.
 
     Attributes:
-        cut_until: Until when it does not renew.
-        frozen: Whether it does nothing else either until then.
+        no_renewal_until: Time until which it does not renew its lease.
+        frozen: Whether it also sends no calls until then.
     """
 
     name: str
     starts: int = 0
     lease: Lease = attrs.Factory(Lease)
-    cut_until: float = 0.0
+    no_renewal_until: float = 0.0
     frozen: bool = False
 
     @property
     def incarnation(self) -> str:
-        """Returns its name in this run."""
+        """Name of the router in its current run."""
         return f"{self.name}.{self.starts}"
 
 
-class OnceSchedule:
-    """Callers, two routers, the log and a service, in virtual time.
+class AtMostOnceSchedule:
+    """Callers, two routers, the log and a service in virtual time.
 
     Attributes:
-        told: How often callers were told each kind of outcome.
-        runs: How often the service ran each key.
+        outcomes: Number of outcomes reported to callers, by kind.
+        runs: Number of runs at the service, by key.
     """
 
     def __init__(
@@ -116,7 +117,9 @@
         self._random = random.Random(seed)
         self._state_class, self._state = state, state()
         self._one_holder, self._any_epoch = one_holder, any_epoch
-        self._ready = ("reserving", "held") if unreserved else ("held",)
+        self._sendable_phases = (
+            ("reserving", "held") if unreserved else ("held",)
+        )
         self._now = 10.0
         self._table = LeaseTable(0.0)
         self._routers = [CallRouter("r0"), CallRouter("r1")]
@@ -124,31 +127,42 @@
         self._queue: list = []
         self._unknown: set[str] = set()
         self._answers: dict[str, str] = {}
-        self.told, self.runs = Counter(), Counter()
+        self.outcomes, self.runs = Counter(), Counter()
 
     def run(self):
-        """Runs the schedule; an `AssertionError` is a broken promise."""
+        """Runs the schedule; raises `AssertionError` if a guarantee fails."""
         steps = (
-            *(self._ask, self._deliver, self._deliver, self._send, self._send),
-            *(self._pass_time, self._fault, self._resend, self._renew),
+            *(
+                self._start_call,
+                self._deliver,
+                self._deliver,
+                self._send_call,
+                self._send_call,
+            ),
+            *(
+                self._advance_time,
+                self._inject_fault,
+                self._duplicate_command,
+                self._renew,
+            ),
         )
-        # Uneven weights reach states that even ones would hardly reach.
+        # Uneven weights reach states that even ones rarely reach.
         weights = [self._random.choice((1, 2, 8)) for _ in steps]
         for step in self._random.choices(steps, weights, k=STEPS):
             step()
 
     def _renew(self):
         for router in self._routers:
-            if self._now >= router.cut_until:
+            if self._now >= router.no_renewal_until:
                 duration_s = self._table.grant(router.incarnation, 0, self._now)
                 router.lease.granted(self._now, duration_s, self._now)
 
-    def _pass_time(self):
+    def _advance_time(self):
         for _ in range(self._random.randrange(1, 4)):
             self._now += 0.5
             self._renew()
 
-    def _fault(self):
+    def _inject_fault(self):
         router = self._random.choice(self._routers)
         match self._random.randrange(4):
             case 0:
@@ -158,7 +172,7 @@
                 router.starts += 1
                 router.lease = Lease()
             case 1:
-                router.cut_until = self._now + self._random.uniform(1, 4)
+                router.no_renewal_until = self._now + self._random.uniform(1, 4)
                 router.frozen = self._random.random() < 0.5
             case 2:
                 self._table = LeaseTable(self._now)
@@ -166,7 +180,7 @@
                 taken, self._state = self._state.snapshot(), self._state_class()
                 self._state.restore(taken)
 
-    def _ask(self):
+    def _start_call(self):
         router = self._random.choice(self._routers)
         if not router.lease.holds(self._now):
             return
@@ -176,19 +190,21 @@
         self._calls.append(Call(key, router, holder, router.lease.epoch))
         self._queue.append(Reserve(key, b"", holder, self._now))
 
-    def _resend(self):
+    def _duplicate_command(self):
         if self._queue:
             self._queue.append(self._random.choice(self._queue))
 
     def _deliver(self):
-        """Applies a command, in any order; the answer may be lost."""
+        """Applies a command out of order; the answer may be lost."""
         if not self._queue:
             return
         index = self._random.randrange(len(self._queue))
         command = self._queue.pop(index)
         result = self._apply(command)
         if isinstance(command, Reserve) and self._random.random() < 0.8:
-            self._reserved(command, self._abandoned(command, result))
+            self._handle_reserve_result(
+                command, self._abandon_if_expired(command, result)
+            )
 
     def _apply(self, command):
         result = RESULTS.decode(self._state.apply(COMMANDS.encode(command)))
@@ -199,7 +215,7 @@
         }
         return result
 
-    def _abandoned(self, command, result):
+    def _abandon_if_expired(self, command, result):
         """Ends a reservation whose router has no lease, as the leader does."""
         match result:
             case RecordFound(Record(holder=holder)) if (
@@ -213,7 +229,7 @@
                 )
         return result
 
-    def _reserved(self, command, result):
+    def _handle_reserve_result(self, command, result):
         waiting = [
             call
             for call in self._calls
@@ -225,43 +241,47 @@
                 case Reserved():
                     call.phase = "held"
                 case RecordFound(Record(status=RecordStatus.DONE) as record):
-                    self._tell(call, record.answer.decode())
+                    self._report_outcome(call, record.answer.decode())
                 case RecordFound(Record(status=RecordStatus.UNKNOWN)):
-                    self._tell(call, "unknown")
+                    self._report_outcome(call, "unknown")
                 case RecordFound(record) if record.holder == call.holder:
                     call.phase = "held"
                 case _:
-                    self._tell(call, "unknown")
-
-    def _tell(self, call, told):
-        call.phase, call.told = "closed", told
-        self.told[told if told in ("not_run", "unknown") else "answer"] += 1
-        if told not in ("not_run", "unknown"):
+                    self._report_outcome(call, "unknown")
+
+    def _report_outcome(self, call, outcome):
+        call.phase, call.outcome = "closed", outcome
+        self.outcomes[
+            outcome if outcome in ("not_run", "unknown") else "answer"
+        ] += 1
+        if outcome not in ("not_run", "unknown"):
             first = self._answers.get(call.key)
-            assert told == first, f"{call.key} got {told}, not {first}"
+            assert outcome == first, f"{call.key} got {outcome}, not {first}"
 
-    def _settle(self, call, told, status, answer=""):
-        self._tell(call, told)
+    def _settle(self, call, outcome, status, answer=""):
+        self._report_outcome(call, outcome)
         self._queue.append(
             Settle(call.key, call.holder, status, 200, "", answer.encode())
         )
 
-    def _send(self):
-        ready = [
+    def _send_call(self):
+        sendable = [
             call
             for call in self._calls
-            if call.phase in self._ready
-            and not (call.router.frozen and self._now < call.router.cut_until)
+            if call.phase in self._sendable_phases
+            and not (
+                call.router.frozen and self._now < call.router.no_renewal_until
+            )
         ]
-        if not ready:
+        if not sendable:
             return
-        call = self._random.choice(ready)
+        call = self._random.choice(sendable)
         lease = call.router.lease
-        entitled = lease.holds(self._now) and (
+        may_send = lease.holds(self._now) and (
             self._any_epoch or lease.epoch == call.epoch
         )
-        if not entitled or self._random.random() < 0.3:
-            self._settle(call, "not_run", None)  # Refused connection.
+        if not may_send or self._random.random() < 0.3:
+            self._settle(call, "not_run", None)  # Connection refused.
             return
         assert call.key not in self._unknown, f"{call.key} sent after unknown"
         ran = self._random.random() < 0.8
@@ -287,20 +307,20 @@
 
 
 def run_schedules(context, count, **doubles):
-    context.fault, context.told, context.runs = None, Counter(), 0
+    context.fault, context.outcomes, context.runs = None, Counter(), 0
     for seed in range(count):
-        schedule = OnceSchedule(seed, **doubles)
+        schedule = AtMostOnceSchedule(seed, **doubles)
         try:
             schedule.run()
         except AssertionError as exc:
             context.fault = f"seed {seed}: {exc}"
             return
-        context.told += schedule.told
+        context.outcomes += schedule.outcomes
         context.runs += schedule.runs.total()
 
 
 @when(
-    "{count:d} schedules of crashes, lost leases, resends and repeated "
+    "{count:d} schedules of crashes, lost leases, retries and duplicated "
     "commands run"
 )
 def run_faultless(context, count):
@@ -312,13 +332,13 @@
     run_schedules(context, count, **FAULTS[fault])
 
 
-@then("every promise of at-most-once calls was kept")
-def promises_kept(context):
+@then("every at-most-once guarantee held")
+def guarantees_held(context):
     assert context.fault is None, context.fault
 
 
-@then("a promise of at-most-once calls was broken")
-def promise_broken(context):
+@then("an at-most-once guarantee was violated")
+def guarantee_violated(context):
     assert context.fault is not None
     print(context.fault)
 
@@ -326,10 +346,10 @@
 @then("at least {runs:d} calls ran and {unknown:d} outcomes were unknown")
 def enough_calls(context, runs, unknown):
     assert context.runs >= runs, context.runs
-    assert context.told["unknown"] >= unknown, context.told
+    assert context.outcomes["unknown"] >= unknown, context.outcomes
 
 
-# Retention and bounds.
+# Retention of records and size of the table.
 
 
 def apply(context, command):
@@ -349,20 +369,20 @@
     apply(context, done)
 
 
-@then("a resend at {hours:g} h gets its answer")
-def resend_answered(context, hours):
+@then("a retry at {hours:g} h gets its answer")
+def retry_answered(context, hours):
     context.result = reserve(context, "key", hours * HOUR_S)
     answered(context)
 
 
-@then("the resend gets the answer")
+@then("the retry gets the answer")
 def answered(context):
     assert isinstance(context.result, RecordFound), context.result
     assert context.result.record.answer == b"answer"
 
 
-@then("a resend at {hours:g} h is a new call")
-def resend_new(context, hours):
+@then("a retry at {hours:g} h is a new call")
+def retry_is_new(context, hours):
     assert reserve(context, "key", hours * HOUR_S) == Reserved()
 
 
@@ -391,21 +411,23 @@
 
 
 @when(
-    "a leader whose clock is {ahead:g} h ahead stamps the resend {hours:g} h "
-    "later"
+    "a leader whose clock is {ahead:g} h ahead adds a timestamp to the retry "
+    "{hours:g} h later"
 )
-def stamped_resend(context, ahead, hours):
+def retry_with_timestamp(context, ahead, hours):
     since = ahead * HOUR_S
-    stamper = Stamper(context.state.last_stamp, since)
-    at = stamper.stamp(since + hours * HOUR_S)
+    timestamps = TimestampSource(context.state.last_stamp, since)
+    at = timestamps.timestamp(since + hours * HOUR_S)
     context.result = reserve(context, "key", at)
 
 
-@when("the resend is stamped with a clock that is {ahead:g} h ahead")
-def bare_stamp(context, ahead):
+@when(
+    "the timestamp of the retry is taken from a clock that is {ahead:g} h ahead"
+)
+def retry_with_bare_clock(context, ahead):
     context.result = reserve(context, "key", ahead * HOUR_S)
 
 
-@then("the resend is a new call")
+@then("the retry is a new call")
 def is_new(context):
     assert context.result == Reserved(), context.result
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -34,14 +34,16 @@
 from knapweedarch.timers import Clock, ManualClock, Timers
 from standins.deployment import CREDENTIAL, ROOT, Deployment
 
-ORDER = state.PutRules("a", 0, "model guide  # asked by T: x\n")
+RULES_COMMAND = state.PutRules("a", 0, "model guide  # asked by T: x\n")
 
 
 def submit(members, command, timeout_s):
-    """Submits a command; returns the reason it failed for, or its result."""
+    """Submits a command; returns its result or the reason for its failure."""
 
     async def run():
-        client = control.create_control(members, CREDENTIAL.encode(), Clock())
+        client = control.create_control_client(
+            members, CREDENTIAL.encode(), Clock()
+        )
         async with client:
             try:
                 return await client.submit(command, timeout_s)
@@ -57,16 +59,16 @@
     return state.RESULTS.decode(data)
 
 
-@given("a member that drops the first order and redirects all later ones")
-def dropping_member(context):
-    context.orders = 0
+@given("a member that drops the first command and redirects all later ones")
+def dropping_and_redirecting_member(context):
+    context.received_commands = 0
 
 
-@when("an order is given")
-def give_order(context):
+@when("a command is submitted")
+def submit_command(context):
     async def handle(link, message):
-        context.orders += 1
-        if context.orders == 1:
+        context.received_commands += 1
+        if context.received_commands == 1:
             link.close()
             return None
         return control.Redirect("")
@@ -80,40 +82,40 @@
                 *(links.serve, listener, CREDENTIAL.encode()),
                 *(control.CONTROL, handle, print),
             )
-            client = control.create_control(
+            client = control.create_control_client(
                 [address], CREDENTIAL.encode(), Clock()
             )
             async with client:
                 try:
-                    await client.submit(ORDER, 1.0)
+                    await client.submit(RULES_COMMAND, 1.0)
                 except ControlError as exc:
                     context.reason = exc.reason
             group.cancel_scope.cancel()
 
     anyio.run(run)
-    assert context.orders > 1, context.orders
+    assert context.received_commands > 1, context.received_commands
 
 
-@then("the order ends as {reason}")
-def order_ends(context, reason):
+@then("the command ends as {reason}")
+def command_ends(context, reason):
     assert context.reason == reason, context.reason
 
 
 @given('the rules were replaced under request id "a"')
 def rules_replaced(context):
     context.machine = state.ControlState()
-    assert apply(context.machine, ORDER) == state.RulesAccepted(1)
+    assert apply(context.machine, RULES_COMMAND) == state.RulesAccepted(1)
 
 
-@then('the same order under request id "a" gets the first answer')
-def same_order(context):
-    assert apply(context.machine, ORDER) == state.RulesAccepted(1)
+@then('the same command under request id "a" gets the first answer')
+def same_command_again(context):
+    assert apply(context.machine, RULES_COMMAND) == state.RulesAccepted(1)
     assert context.machine.rules_version == 1
 
 
-@then('another order under request id "a" is refused as RequestIdReused')
-def other_order(context):
-    other = attrs.evolve(ORDER, base_version=1)
+@then('another command under request id "a" is refused as RequestIdReused')
+def other_command(context):
+    other = attrs.evolve(RULES_COMMAND, base_version=1)
     assert apply(context.machine, other) == state.RequestIdReused()
     assert context.machine.rules_version == 1
 
@@ -148,7 +150,7 @@
     assert "rnew" in known and "r4" in known and "r9" not in known
 
 
-@given("a runner that serves two models and rules that name w2 and w3 for them")
+@given("a runner that serves two models and rules that set w2 and w3 for them")
 def two_models(context):
     context.runner = endpoint(1, serves=("guide", "scribe"))
     context.rules = Rules(
@@ -174,7 +176,7 @@
     context.members = [control.MemberAddress(**m) for m in cluster.members]
 
     async def form():
-        client = control.create_control(
+        client = control.create_control_client(
             context.members, CREDENTIAL.encode(), Clock()
         )
         async with client:
@@ -185,15 +187,15 @@
 
 @when("an operator submits rules that do not parse")
 def submit_faulty(context):
-    order = state.PutRules("b", 0, "modle guide\n")
-    context.reason = submit(context.members, order, 10)
+    command = state.PutRules("b", 0, "modle guide\n")
+    context.reason = submit(context.members, command, 10)
 
 
 @then("the rules version is still {version:d}")
 def still_version(context, version):
-    # Based on `version`, so that it conflicts if the version has moved.
-    order = state.PutRules("c", version, ORDER.text)
-    result = submit(context.members, order, 10)
+    # Based on `version`, so that it conflicts if the version has changed.
+    command = state.PutRules("c", version, RULES_COMMAND.text)
+    result = submit(context.members, command, 10)
     assert result == state.RulesAccepted(version + 1), result
 
 
@@ -220,30 +222,30 @@
 
 @given("a router that knows an active endpoint")
 def router_knows(context):
-    class NoScheduler:
+    class StubScheduler:
         def set_endpoints(self, endpoints, now):
-            """Takes endpoints."""
+            """Ignores the endpoints."""
 
     context.known = endpoint(1, kind=EndpointKind.SERVICE)
     context.endpoints = EndpointTable(
-        NoScheduler(), None, Clock(), None, {}, "seed"
+        StubScheduler(), None, Clock(), None, {}, "seed"
     )
     context.endpoints.update([state.EndpointEntry(context.known, 1)])
 
 
-@then("its announcement is no news")
-def no_news(context):
+@then("its announcement is not forwarded")
+def announcement_not_forwarded(context):
     assert not context.endpoints.is_news(context.known)
 
 
-@then("its announcement with another incarnation is news")
-def incarnation_is_news(context):
+@then("its announcement with another incarnation is forwarded")
+def new_incarnation_forwarded(context):
     changed = attrs.evolve(context.known, incarnation="other")
     assert context.endpoints.is_news(changed)
 
 
-@then("its announcement as leaving is news until the members have it")
-def leaving_is_news(context):
+@then("its announcement as leaving is forwarded until the members have it")
+def leaving_status_forwarded(context):
     leaving = attrs.evolve(context.known, status=EndpointStatus.LEAVING)
     context.endpoints.update([state.EndpointEntry(leaving, 2)])
     assert context.endpoints.is_news(leaving)
@@ -256,12 +258,12 @@
     ticket = Ticket("t", "c", "guide", Priority.GUEST, (), 10, 10, 9.0)
     dispatch = Dispatch(Attempt(1, ticket, endpoint(1)))
 
-    class OneDecision:
+    class SingleDecisionScheduler:
         def __init__(self):
             self.results = []
 
         def submit(self, ticket, now):
-            """Lets the request wait."""
+            """Makes the request wait."""
             return Wait()
 
         def poll(self, now):
@@ -269,10 +271,10 @@
             return [(ticket.id, dispatch)]
 
         def finished(self, attempt, result, now):
-            """Keeps the end of an attempt."""
+            """Records the end of an attempt."""
             self.results.append((attempt.number, result.cancelled))
 
-    context.ticket, context.scheduler = ticket, OneDecision()
+    context.ticket, context.scheduler = ticket, SingleDecisionScheduler()
 
 
 @when("its caller leaves at the moment of the decision")
@@ -296,11 +298,12 @@
     assert context.scheduler.results == [(1, True)], context.scheduler.results
 
 
-@given("an address where connections hang")
+@given("an address where connection attempts hang")
 def hanging_address(context):
     context.listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     context.add_cleanup(context.listener.close)
-    # The kernel drops the first packet of any more connections than these.
+    # Once these fill the backlog, the kernel drops the first packet of any
+    # further connection.
     for _ in range(4):
         filler = socket.socket()
         filler.setblocking(False)
@@ -319,29 +322,29 @@
                 *(control.CONTROL, lambda link, message: None),
             )
         except LinkError:
-            context.taken_s = anyio.current_time() - began_at
+            context.elapsed_s = anyio.current_time() - began_at
 
     anyio.run(run)
 
 
-@then("it ends as not connected within {limit:f} s")
+@then("the attempt fails within {limit:f} s")
 def not_connected(context, limit):
-    assert 0.1 <= context.taken_s <= limit, context.taken_s
+    assert 0.1 <= context.elapsed_s <= limit, context.elapsed_s
 
 
-class KeptMessages:
-    """Keeps what is sent over a link."""
+class RecordingLink:
+    """Link that records the messages sent over it."""
 
     def __init__(self):
         self.sent = []
 
     def send(self, message):
-        """Takes a message."""
+        """Records a message."""
         self.sent.append(message)
 
 
-@given('a member that has not reached member "{name}" yet')
-def unreached(context, name):
+@given('a member that has not connected to member "{name}" yet')
+def unreached_peer(context, name):
     folder = tempfile.mkdtemp()
     context.add_cleanup(shutil.rmtree, folder)
     names = ("a", name)
@@ -358,30 +361,30 @@
     )
 
 
-@when('member "{name}" opens a link and says who it is')
-def says_hello(context, name):
-    context.link = KeptMessages()
+@when('member "{name}" opens a link and identifies itself')
+def peer_opens_link(context, name):
+    context.link = RecordingLink()
     hello = control.Hello(name, "00")
     anyio.run(context.member._handle, context.link, hello)
 
 
 def send_to(context, name):
     reply = replica.VoteReply("00", 1, False, True)
-    context.member._send_peer(name, reply)
+    context.member._send_to_peer(name, reply)
     return len(context.link.sent)
 
 
-@then('messages to member "{name}" go over that link')
+@then('messages to member "{name}" are sent over that link')
 def go_over_link(context, name):
     assert send_to(context, name) == 1
 
 
 @when("that link closes")
 def link_closes(context):
-    context.member._on_closed(context.link)
+    context.member._on_link_closed(context.link)
     context.link.sent.clear()
 
 
-@then('messages to member "{name}" go nowhere')
+@then('messages to member "{name}" are not sent')
 def go_nowhere(context, name):
     assert send_to(context, name) == 0
--- a/features/steps/lease_schedule_steps.py
+++ b/features/steps/lease_schedule_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run seeded fault schedules on leases and on the state."""
+"""Steps that run seeded fault schedules against leases and the state."""
 
 import heapq
 import itertools
@@ -7,7 +7,13 @@
 import attrs
 from behave import given, then, when
 
-from knapweedarch.leases import GRANT_S, LEASE_S, RENEW_S, Lease, LeaseTable
+from knapweedarch.leases import (
+    GRANT_S,
+    LEASE_S,
+    RENEW_INTERVAL_S,
+    Lease,
+    LeaseTable,
+)
 from knapweedarch.models import Endpoint, EndpointKind, EndpointStatus
 from knapweedarch.state import (
     COMMANDS,
@@ -28,53 +34,53 @@
 MAX_RATE_ERROR = 0.024
 POLL_S = 0.05
 WORK_S = 0.06
-# A link that is silent for longer is closed, so nothing older arrives.
+# A link that is silent for longer is closed, so no message is delayed more.
 MAX_DELAY_S = 1.0
 
 
 class NoWaitTable(LeaseTable):
-    """A new leader that does not wait for its predecessor's grants."""
+    """A new leader that does not wait until earlier grants have expired."""
 
     def __init__(self, leader_since: float):
         super().__init__(leader_since - GRANT_S)
 
 
-class CommittedTable(LeaseTable):
+class CommitOnlyTable(LeaseTable):
     """A leader that answers as soon as the change is committed."""
 
     def in_force(self, index: int, now: float) -> bool:
-        """Never waits for a router."""
-        return now >= self._settled_at
+        """Does not wait for any router."""
+        return now >= self._prior_grants_end
 
 
-class ShortTable(LeaseTable):
-    """A leader that leaves no room for the drift of clocks."""
+class NoDriftMarginTable(LeaseTable):
+    """A leader that allows no margin for clock drift."""
 
     def grant(self, holder: str, applied: int, now: float) -> float:
-        """Counts the bare duration of the lease."""
+        """Records the duration of the lease without the margin."""
         return super().grant(holder, applied, now - (GRANT_S - LEASE_S))
 
 
-class PatientTable(LeaseTable):
-    """A leader that extends grants whatever the holder has applied."""
+class UnlimitedGrantTable(LeaseTable):
+    """A leader that renews leases whatever the holder has applied."""
 
     def grant(self, holder: str, applied: int, now: float) -> float:
-        """Forgets which changes wait."""
+        """Discards the pending changes."""
         self._waiting_since.clear()
         return super().grant(holder, applied, now)
 
 
-class ReceiptLease(Lease):
+class ReceiptTimedLease(Lease):
     """A router that counts its lease from the receipt of the grant."""
 
     def granted(
         self, requested_at: float, duration_s: float, now: float
     ) -> None:
-        """Ignores how long the grant was under way."""
+        """Ignores the transmission time of the grant."""
         super().granted(now, duration_s, now)
 
 
-class OlderStateError(Exception):
+class StaleStateError(Exception):
     """A router started work under a state older than an answered change."""
 
 
@@ -84,18 +90,18 @@
 
     Attributes:
         rate: Rate of its clock.
-        frozen_until: When it goes on, in true time.
-        cut_until: Until when its messages are lost, in true time.
-        deaf_until: Until when it does not hear answers, in true time.
+        frozen_until: End of its freeze, in true time.
+        partitioned_until: End of the loss of all its messages, in true time.
+        replies_lost_until: End of the loss of replies to it, in true time.
     """
 
     rate: float
     frozen_until: float = 0.0
-    cut_until: float = 0.0
-    deaf_until: float = 0.0
+    partitioned_until: float = 0.0
+    replies_lost_until: float = 0.0
 
     def clock(self, now: float) -> float:
-        """Returns its own clock."""
+        """Returns the time on its own clock."""
         return 500.0 + now * self.rate
 
 
@@ -127,7 +133,7 @@
     def __init__(self, seed: int, table=LeaseTable, lease=Lease):
         self._random = random.Random(seed)
         self._table, self._lease = table, lease
-        self._now, self._order = 0.0, itertools.count()
+        self._now, self._sequence = 0.0, itertools.count()
         self._events: list = []
         self._committed = self._in_force = 0
         self.answered, self.longest_s = 0, 0.0
@@ -138,17 +144,17 @@
         ]
 
     def _rate(self) -> float:
-        # Extreme rates find more than middle ones.
+        # Extreme rates find more faults than rates in between.
         return 1 + self._random.choice((-1, 0, 1)) * MAX_RATE_ERROR
 
-    def _at(self, delay: float, step, *args) -> None:
-        item = (self._now + delay, next(self._order), step, args)
+    def _schedule(self, delay: float, step, *args) -> None:
+        item = (self._now + delay, next(self._sequence), step, args)
         heapq.heappush(self._events, item)
 
-    def _awake(self, process: Process, step, *args) -> bool:
-        """Puts the step off until the process is no longer frozen."""
+    def _defer_if_frozen(self, process: Process, step, *args) -> bool:
+        """Returns whether the process is running; otherwise defers the step."""
         if self._now < process.frozen_until:
-            self._at(process.frozen_until - self._now, step, *args)
+            self._schedule(process.frozen_until - self._now, step, *args)
             return False
         return True
 
@@ -161,16 +167,19 @@
         """Runs the schedule.
 
         Raises:
-            OlderStateError: A promise was broken.
+            StaleStateError: A router started work under an older state than
+                one that was answered as in force.
         """
         self._elect()
         for router in self._routers:
-            self._at(self._random.uniform(0, RENEW_S), self._renew, router)
-            self._at(self._random.uniform(0, WORK_S), self._work, router)
+            self._schedule(
+                self._random.uniform(0, RENEW_INTERVAL_S), self._renew, router
+            )
+            self._schedule(self._random.uniform(0, WORK_S), self._work, router)
         for _ in range(5):
-            self._at(self._random.uniform(1, 10), self._fault)
+            self._schedule(self._random.uniform(1, 10), self._inject_fault)
         for _ in range(6):
-            self._at(self._random.uniform(1, 10), self._change)
+            self._schedule(self._random.uniform(1, 10), self._commit_change)
         while self._events and self._now < DURATION_S:
             self._now, _, step, args = heapq.heappop(self._events)
             step(*args)
@@ -180,69 +189,76 @@
         leader.table = self._table(leader.clock(self._now))
         self._leader = leader
 
-    def _fault(self) -> None:
+    def _inject_fault(self) -> None:
         until = self._now + self._random.uniform(0.3, 5.0)
         router = self._random.choice(self._routers)
         match self._random.randrange(5):
             case 0 if self._leader is not None:
-                # Crashed or frozen: its lease runs out before the next office.
+                # The leader crashed or froze: its leader lease expires before
+                # the next leader is elected.
                 self._leader = None
-                self._at(self._random.uniform(0.6, 1.8), self._elect)
+                self._schedule(self._random.uniform(0.6, 1.8), self._elect)
             case 1:
-                router.cut_until = until
+                router.partitioned_until = until
             case 2:
                 router.frozen_until = until
             case 3:
                 router.starts += 1
                 router.lease, router.applied = self._lease(), 0
             case 4:
-                router.deaf_until = until + 5.0
+                router.replies_lost_until = until + 5.0
 
     def _renew(self, router: FakeRouter) -> None:
-        if not self._awake(router, self._renew, router):
+        if not self._defer_if_frozen(router, self._renew, router):
             return
-        asked = (router.starts, router.clock(self._now), router.applied)
-        if self._now >= router.cut_until:
-            self._at(self._delay(), self._grant, router, asked)
-        self._at(RENEW_S, self._renew, router)
+        renewal = (router.starts, router.clock(self._now), router.applied)
+        if self._now >= router.partitioned_until:
+            self._schedule(self._delay(), self._grant, router, renewal)
+        self._schedule(RENEW_INTERVAL_S, self._renew, router)
 
-    def _grant(self, router: FakeRouter, asked: tuple) -> None:
+    def _grant(self, router: FakeRouter, renewal: tuple) -> None:
         leader = self._leader
         if leader is None:
             return
-        starts, _, applied = asked
+        starts, _, applied = renewal
         holder = f"{router.name}/{starts}"
         now = leader.clock(self._now)
         duration_s = leader.table.grant(holder, applied, now)
-        if self._now >= max(router.cut_until, router.deaf_until):
+        if self._now >= max(
+            router.partitioned_until, router.replies_lost_until
+        ):
             granted = (self._committed, duration_s)
-            self._at(self._delay(), self._take, router, asked, *granted)
+            self._schedule(
+                self._delay(), self._receive_grant, router, renewal, *granted
+            )
 
-    def _take(
-        self, router: FakeRouter, asked: tuple, index: int, duration_s: float
+    def _receive_grant(
+        self, router: FakeRouter, renewal: tuple, index: int, duration_s: float
     ) -> None:
-        if not self._awake(
-            router, self._take, router, asked, index, duration_s
+        if not self._defer_if_frozen(
+            router, self._receive_grant, router, renewal, index, duration_s
         ):
             return
-        starts, asked_at, _ = asked
+        starts, requested_at, _ = renewal
         if starts == router.starts:
             router.applied = max(router.applied, index)
             now = router.clock(self._now)
-            router.lease.granted(asked_at, duration_s, now)
+            router.lease.granted(requested_at, duration_s, now)
 
     def _work(self, router: FakeRouter) -> None:
-        if not self._awake(router, self._work, router):
+        if not self._defer_if_frozen(router, self._work, router):
             return
         holds = router.lease.holds(router.clock(self._now))
         if holds and router.applied < self._in_force:
-            raise OlderStateError(
+            raise StaleStateError(
                 f"{router.name} works under {router.applied} at "
                 f"{self._now:.3f} s, {self._in_force} is in force"
             )
-        self._at(WORK_S * self._random.uniform(0.3, 1), self._work, router)
+        self._schedule(
+            WORK_S * self._random.uniform(0.3, 1), self._work, router
+        )
 
-    def _change(self) -> None:
+    def _commit_change(self) -> None:
         if self._leader is None:
             return
         self._committed += 1
@@ -256,22 +272,25 @@
             self.answered += 1
             self.longest_s = max(self.longest_s, self._now - since)
             return
-        self._at(POLL_S, self._answer, leader, index, since)
+        self._schedule(POLL_S, self._answer, leader, index, since)
 
 
 LEASE_FAULTS = {
     "a new leader does not wait": {"table": NoWaitTable},
-    "the lease counts from receipt of the grant": {"lease": ReceiptLease},
+    "the lease counts from receipt of the grant": {"lease": ReceiptTimedLease},
     "a change is answered as soon as it is committed": {
-        "table": CommittedTable
+        "table": CommitOnlyTable
     },
-    "the leader counts 2.0 s for a slower clock": {"table": ShortTable},
+    "the leader counts 2.0 s for a slower clock": {"table": NoDriftMarginTable},
 }
 
 
-@when("up to {count:d} schedules run in which deaf routers get new leases")
-def run_patient_leases(context, count):
-    run_leases(context, count, table=PatientTable)
+@when(
+    "up to {count:d} schedules run in which routers that receive no replies "
+    "get new leases"
+)
+def run_unlimited_grants(context, count):
+    run_leases(context, count, table=UnlimitedGrantTable)
 
 
 @then("an answer took longer than {limit:f} s under one leader")
@@ -281,7 +300,7 @@
 
 
 def run_seeds(context, count, run):
-    """Runs seeds until one fails; keeps the failing seed and its fault."""
+    """Runs seeds until one fails; records the failing seed and its fault."""
     context.fault = None
     for seed in range(count):
         try:
@@ -298,7 +317,7 @@
         schedule = LeaseSchedule(seed, **doubles)
         try:
             schedule.run()
-        except OlderStateError as exc:
+        except StaleStateError as exc:
             raise AssertionError(exc) from exc
         context.answered += schedule.answered
         context.longest_s = max(context.longest_s, schedule.longest_s)
@@ -307,8 +326,8 @@
 
 
 @when(
-    "{count:d} schedules of leader changes, cuts, deafness, freezes and late "
-    "grants run"
+    "{count:d} schedules of leader changes, partitions, lost replies, frozen "
+    "processes and delayed grants run"
 )
 def run_lease_schedules(context, count):
     run_leases(context, count)
@@ -322,22 +341,22 @@
 @then("no router started work under an older state")
 @then("no endpoint came back without an operator")
 @then("their results and final states are equal")
-def nothing_found(context):
+def no_fault_found(context):
     assert context.fault is None, context.fault
 
 
 @then("a router started work under an older state")
-@then("a promise to the operators was broken")
+@then("a guarantee to the operators was violated")
 @then("an endpoint came back without an operator")
 @then("some results or final states differ")
-def something_found(context):
+def fault_found(context):
     assert context.fault is not None
     print(context.fault)
 
 
-@then("every answer came within {limit:f} s unless the leader changed")
+@then("every change was answered within {limit:f} s unless the leader changed")
 def answers_in_time(context, limit):
-    # GRANT_S on the slowest leader clock and one poll.
+    # The limit is GRANT_S on the slowest leader clock and one poll.
     assert context.longest_s <= limit, context.longest_s
 
 
@@ -346,11 +365,11 @@
     assert context.answered >= count, context.answered
 
 
-# Operators and the rule file.
+# Concurrent changes of the rule file.
 
 
-class UncheckedBase(ControlState):
-    """Accepts a file whatever version it is based on."""
+class UncheckedBaseState(ControlState):
+    """Accepts a file whatever its base version is."""
 
     def _put_rules(self, command):
         self.rules_version += 1
@@ -358,18 +377,18 @@
         return RulesAccepted(self.rules_version)
 
 
-class ForgetfulState(ControlState):
+class NoStoredAnswersState(ControlState):
     """Stores no answers."""
 
     def apply(self, data: bytes) -> bytes:
-        """Applies a resend as if it were new."""
+        """Applies a retry as if it were a new command."""
         self._answers.clear()
         return super().apply(data)
 
 
 RULE_FAULTS = {
-    "the base version is not checked": UncheckedBase,
-    "answers are not stored": ForgetfulState,
+    "the base version is not checked": UncheckedBaseState,
+    "answers are not stored": NoStoredAnswersState,
 }
 
 
@@ -379,30 +398,30 @@
 
 
 def race(seed, state_class=ControlState):
-    """Operators send, lose answers and resend, also after others have sent."""
+    """Operators send, lose answers and retry, also after commands of others."""
     rng, state = random.Random(seed), state_class()
     sent, first, accepted, texts = [], {}, {}, [""]
     for n in range(30):
         if sent and rng.random() < 0.5:
-            order = rng.choice(sent)
+            command = rng.choice(sent)
         else:
             base = max(0, state.rules_version - (rng.random() < 0.3))
-            order = PutRules(f"order {n}", base, f"file {n}")
-            sent.append(order)
+            command = PutRules(f"order {n}", base, f"file {n}")
+            sent.append(command)
         before = state.rules_text
-        answer = apply(state, order)
-        known = first.setdefault(order.request_id, answer)
-        assert answer == known, f"{order} got {answer} after {known}"
+        answer = apply(state, command)
+        known = first.setdefault(command.request_id, answer)
+        assert answer == known, f"{command} got {answer} after {known}"
         if isinstance(answer, RulesAccepted):
-            file = accepted.setdefault(order.base_version, order.text)
-            assert file == order.text, f"two files on {order.base_version}"
+            file = accepted.setdefault(command.base_version, command.text)
+            assert file == command.text, f"two files on {command.base_version}"
         if state.rules_text != before:
-            assert state.rules_text not in texts, "an old text came back"
+            assert state.rules_text not in texts, "an older text was restored"
             texts.append(state.rules_text)
     assert len(accepted) == state.rules_version
 
 
-@when("{count:d} races of operators who resend after lost answers run")
+@when("{count:d} races of operators who retry after lost answers run")
 def run_races(context, count):
     run_seeds(context, count, race)
 
@@ -413,10 +432,10 @@
 
 
 @then("each base version has exactly one accepted file")
-@then("each resend got the first answer")
+@then("each retry got the first answer")
 @then("no version of the rules was followed by an older text")
-def race_held(context):
-    nothing_found(context)
+def race_guarantees_held(context):
+    no_fault_found(context)
 
 
 @given("rule files 1 and 2 were accepted")
@@ -446,11 +465,11 @@
     assert context.state.rules_text == "file 2"
 
 
-# Endpoints.
+# Retirement of endpoints.
 
 
-class UnmarkedRetirement(ControlState):
-    """Retires an endpoint without remembering that an operator did."""
+class UnmarkedRetirementState(ControlState):
+    """Retires an endpoint without recording that an operator did so."""
 
     def _put_endpoint(self, endpoint, retired, superseded):
         super()._put_endpoint(endpoint, False, superseded)
@@ -466,7 +485,7 @@
 def retire_schedule(seed, state_class=ControlState):
     """Endpoints restart and announce, also late; operators retire them."""
     rng, state = random.Random(seed), state_class()
-    starts, retired, past = {"e1": 0, "e2": 0}, set(), []
+    starts, retired, sent_announcements = {"e1": 0, "e2": 0}, set(), []
     for n in range(40):
         name = rng.choice(sorted(starts))
         match rng.randrange(5):
@@ -481,16 +500,18 @@
                 apply(state, Announce(endpoint, True, f"order {n}"))
                 retired.discard(name)
             case _:
-                if past and rng.random() < 0.3:
-                    announced = rng.choice(past)
+                if sent_announcements and rng.random() < 0.3:
+                    announced = rng.choice(sent_announcements)
                 else:
                     endpoint = endpoint_announced(name, starts[name])
                     announced = Announce(endpoint)
-                    past.append(announced)
+                    sent_announcements.append(announced)
                 apply(state, announced)
-        for back in retired:
-            status = state.endpoints[back].endpoint.status
-            assert status is EndpointStatus.LEAVING, f"{back} at step {n}"
+        for retired_name in retired:
+            status = state.endpoints[retired_name].endpoint.status
+            assert status is EndpointStatus.LEAVING, (
+                f"{retired_name} at step {n}"
+            )
 
 
 @when("{count:d} schedules of announcements, restarts and retirements run")
@@ -503,14 +524,16 @@
     "not kept"
 )
 def run_faulty_retirements(context, count):
-    run_seeds(context, count, lambda s: retire_schedule(s, UnmarkedRetirement))
+    run_seeds(
+        context, count, lambda s: retire_schedule(s, UnmarkedRetirementState)
+    )
 
 
 # Snapshots.
 
 
-class AnswerlessSnapshot(ControlState):
-    """Leaves the stored answers out of its snapshots."""
+class AnswerlessSnapshotState(ControlState):
+    """Omits the stored answers from its snapshots."""
 
     def restore(self, data: bytes) -> None:
         """Restores all but the answers."""
@@ -519,7 +542,7 @@
 
 
 def random_commands(rng):
-    """Returns commands of all kinds, with resends."""
+    """Returns commands of several kinds, with retries."""
     commands = []
     for n in range(60):
         name = f"e{rng.randrange(3)}"
@@ -540,7 +563,7 @@
 
 
 def snapshot_run(seed, state_class=ControlState):
-    """Compares a state with one that goes through snapshots."""
+    """Compares a state with one that is restored from snapshots."""
     rng = random.Random(seed)
     plain, restored = ControlState(), state_class()
     for n, command in enumerate(random_commands(rng)):
@@ -561,4 +584,6 @@
     "up to {count:d} command sequences run in which snapshots lack the answers"
 )
 def run_faulty_snapshots(context, count):
-    run_seeds(context, count, lambda s: snapshot_run(s, AnswerlessSnapshot))
+    run_seeds(
+        context, count, lambda s: snapshot_run(s, AnswerlessSnapshotState)
+    )
--- a/knapweedarch/lease_keeper.py
+++ b/knapweedarch/lease_keeper.py
@@ -1,36 +1,36 @@
-"""Keeps a router's lease and takes over what the grants bring."""
+"""Renews a router's lease and applies the changes in its grants."""
 
 import random
 from collections.abc import Awaitable, Callable, Sequence
 
 import anyio
 
-from knapweedarch.control import Control, Grant, MemberAddress, Renew
+from knapweedarch.control import ControlClient, Grant, MemberAddress, Renew
 from knapweedarch.deployments import Deployment
 from knapweedarch.exceptions import ControlError
-from knapweedarch.leases import RENEW_S, Lease
+from knapweedarch.leases import RENEW_INTERVAL_S, Lease
 from knapweedarch.logs import log
 from knapweedarch.metrics import Metrics
 from knapweedarch.state import EndpointEntry
 from knapweedarch.timers import Clock, Timers
 
 RENEW_TIMEOUT_S = 1.0
-WATCH_S = 0.2
+EXPIRY_CHECK_INTERVAL_S = 0.2
 
 
 class LeaseKeeper:
-    """Renews the lease each `RENEW_S`, and at once when something changed.
+    """Renews the lease every `RENEW_INTERVAL_S` and after a change.
 
     Attributes:
         lease: The lease.
-        rules_version: Version of the rules taken over.
+        rules_version: Version of the rules last applied.
         on_rules: Called with version and text of new rules; raises
             `ControlError` if they cannot be applied.
         on_endpoints: Called with changed endpoints.
         on_routers: Called with the number of routers that hold a lease.
-        deployment_version: Number of the routing configuration taken over.
+        deployment_version: Version of the routing configuration last applied.
         on_deployment: Called with a new routing configuration.
-        on_weights: Called with the weights versions named, by model.
+        on_weights: Called with the requested weights versions, by model.
         on_members: Called with the addresses of the members.
         on_granted: Called after each grant.
     """
@@ -39,7 +39,7 @@
         self,
         name: str,
         incarnation: str,
-        control: Control,
+        control: ControlClient,
         clock: Clock,
         metrics: Metrics,
     ):
@@ -65,24 +65,25 @@
         self._revision = 0
         self._applied = 0
         self._routers = 0
-        self._held = False
-        self._due = anyio.Event()
+        self._was_held = False
+        self._renewal_due = anyio.Event()
 
     def subscribe(self, timers: Timers) -> None:
-        """Subscribes to the timers."""
-        # Routers that restart together would otherwise renew in step for good.
-        period = RENEW_S * self._random.uniform(0.8, 1.0)
+        """Registers the periodic renewal and expiry check with the timers."""
+        # Jitter: routers that restart together would otherwise renew at the
+        # same moments permanently.
+        period = RENEW_INTERVAL_S * self._random.uniform(0.8, 1.0)
         timers.every(period, lambda now: self.renew_soon())
-        timers.every(WATCH_S, self._watch)
+        timers.every(EXPIRY_CHECK_INTERVAL_S, self._check_expiry)
 
     def renew_soon(self) -> None:
-        """Renews as soon as the running renewal has ended."""
-        self._due.set()
+        """Renews as soon as a renewal in progress has ended."""
+        self._renewal_due.set()
 
     async def run(self) -> None:
         """Renews until cancelled."""
         while True:
-            self._due = anyio.Event()
+            self._renewal_due = anyio.Event()
             try:
                 changed = await self._renew()
             except ControlError as exc:
@@ -90,14 +91,15 @@
                 log("lease_renewal_failed", reason=exc.reason)
                 await anyio.sleep(self._random.uniform(0.02, 0.1))
                 continue
-            # The leader waits to hear that a change is applied here.
+            # After a change renew at once: the leader waits for the
+            # confirmation that this router has applied it.
             if not changed:
-                await self._due.wait()
+                await self._renewal_due.wait()
 
     async def _renew(self) -> bool:
-        """Renews the lease; tells whether the grant brought changes."""
+        """Renews the lease; returns whether the grant brought changes."""
         sent_at = self._clock.now()
-        grant = await self._control.ask(
+        grant = await self._control.request(
             Renew(
                 self._name,
                 self._incarnation,
@@ -109,16 +111,17 @@
             RENEW_TIMEOUT_S,
         )
         if grant.applied < self._applied:
-            # Only a group that lost its log answers so; its state is older.
+            # Happens only if the group lost its log; its state is older than
+            # the one applied here.
             log("grant_older", applied=self._applied, granted=grant.applied)
             return False
-        changed = await self._take(grant)
+        changed = await self._apply_grant(grant)
         self.lease.granted(sent_at, grant.duration_s, self._clock.now())
         self._metrics.count("lease.renewed")
         self.on_granted()
         return changed
 
-    async def _take(self, grant: Grant) -> bool:
+    async def _apply_grant(self, grant: Grant) -> bool:
         if grant.rules_text is not None:
             await self.on_rules(grant.rules_version, grant.rules_text)
             self.rules_version = grant.rules_version
@@ -140,11 +143,11 @@
             grant.rules_text is not None or grant.endpoints or grant.deployment
         )
 
-    def _watch(self, now: float) -> None:
+    def _check_expiry(self, now: float) -> None:
         held = self.lease.holds(now)
-        if held == self._held:
+        if held == self._was_held:
             return
-        self._held = held
+        self._was_held = held
         if held:
             log("lease_granted")
         else:
--- a/knapweedarch/state.py
+++ b/knapweedarch/state.py
@@ -1,8 +1,8 @@
 """Replicated state machine: rules, endpoints and at-most-once records.
 
-Every member applies the same commands in the same order. Nothing here reads a
-clock: the leader stamps commands that need a time, and the stamp is used only
-to decide how long records are kept.
+Every member applies the same commands in the same order. Nothing in this
+module reads a clock: the leader adds a timestamp to the commands that need
+one, and the timestamp only decides how long records are kept.
 """
 
 import hashlib
@@ -25,8 +25,8 @@
     Reserved,
     Settle,
     Settled,
-    Stamper,
     TableFull,
+    TimestampSource,
     record_key,
 )
 from knapweedarch.state_commands import (
@@ -81,22 +81,22 @@
     "RulesConflict",
     "Settle",
     "Settled",
-    "Stamper",
     "TableFull",
     "TakeOrders",
+    "TimestampSource",
     "WeightsNamed",
+    "is_still_loading",
     "record_key",
-    "still_loads",
 ]
 
 MAX_STORED_ANSWERS = 1_000
 MAX_ENDPOINTS = 5_000
-MAX_SUPERSEDED = 16
+MAX_SUPERSEDED_INCARNATIONS = 16
 
 
 @attrs.frozen
 class _StoredAnswer:
-    """The first answer to an order, and which order it was."""
+    """Result of the first request with a request id, and its digest."""
 
     order_digest: bytes
     result: bytes
@@ -122,16 +122,16 @@
 
 
 class ControlState:
-    """The state that all members agree on.
+    """State that the members replicate.
 
     Attributes:
-        rules_version: Version of the rule file; 0 before the first one.
+        rules_version: Version of the rule file; 0 if none was accepted yet.
         rules_text: Text of the rule file.
         revision: Revision of the endpoint table.
-        endpoints: Endpoints by name.
-        deployment: Routing configuration; None before the first one.
-        document: The configuration as the operator wrote it.
-        weights: Highest weights version named, by model.
+        endpoints: Endpoints by id.
+        deployment: Routing configuration; None if none was accepted yet.
+        document: Source text of the routing configuration.
+        weights: Highest requested weights version, by model.
     """
 
     def __init__(self):
@@ -185,11 +185,14 @@
                 return self._name_weights(model, version)
             case ChangeStatus():
                 return self._change_status(command)
-        raise AssertionError(f"no such command: {command}")
+        raise AssertionError(f"unknown command: {command}")
 
     def _put_deployment(self, command: PutDeployment) -> DeploymentAccepted:
-        held = self.deployment.version if self.deployment else 0
-        if self.deployment is None or command.deployment.version > held:
+        current_version = self.deployment.version if self.deployment else 0
+        if (
+            self.deployment is None
+            or command.deployment.version > current_version
+        ):
             self.deployment = command.deployment
             self.document = command.document
         return DeploymentAccepted(self.deployment.version)
@@ -226,7 +229,7 @@
     def _announce(self, command: Announce) -> EndpointAccepted | TableFull:
         endpoint = command.endpoint
         known = self.endpoints.get(endpoint.id)
-        if known is None and not self._make_place():
+        if known is None and not self._make_room():
             return TableFull()
         if known is None:
             self._put_endpoint(endpoint, False, ())
@@ -235,36 +238,42 @@
             return EndpointAccepted(self.revision, known.endpoint.status)
         restarted = known.endpoint.incarnation != endpoint.incarnation
         retired = known.retired and not command.by_operator
-        left = (
+        departed = (
             not restarted
             and known.endpoint.status is EndpointStatus.LEAVING
             and not command.by_operator
         )
-        if retired or left:
-            # An announcement sent before the endpoint left may arrive late.
+        if retired or departed:
+            # A delayed announcement from before the endpoint was retired or
+            # shut down must not reactivate it.
             endpoint = attrs.evolve(endpoint, status=EndpointStatus.LEAVING)
-        elif not restarted and still_loads(known.endpoint, endpoint):
+        elif not restarted and is_still_loading(known.endpoint, endpoint):
             endpoint = attrs.evolve(endpoint, status=EndpointStatus.LOADING)
         if known.endpoint != endpoint or known.retired != retired:
             superseded = known.superseded
             if restarted:
                 superseded = (*superseded, known.endpoint.incarnation)
-            self._put_endpoint(endpoint, retired, superseded[-MAX_SUPERSEDED:])
+            self._put_endpoint(
+                endpoint, retired, superseded[-MAX_SUPERSEDED_INCARNATIONS:]
+            )
         return EndpointAccepted(self.revision, endpoint.status)
 
-    def _make_place(self) -> bool:
-        """Drops the endpoint that left first if the table is full."""
+    def _make_room(self) -> bool:
+        """Evicts the endpoint that left first if the table is full.
+
+        Returns False if every endpoint is still in use.
+        """
         if len(self.endpoints) < MAX_ENDPOINTS:
             return True
-        left = [
+        departed = [
             entry
             for entry in self.endpoints.values()
             if entry.endpoint.status
             in (EndpointStatus.LEAVING, EndpointStatus.SILENT)
         ]
-        if not left:
+        if not departed:
             return False
-        oldest = min(left, key=lambda entry: entry.revision)
+        oldest = min(departed, key=lambda entry: entry.revision)
         del self.endpoints[oldest.endpoint.id]
         return True
 
@@ -300,7 +309,7 @@
 
     @property
     def last_stamp(self) -> float:
-        """Newest stamp of the log in seconds."""
+        """Newest timestamp of the log in seconds."""
         return self._records.last_stamp
 
     @property
@@ -309,9 +318,10 @@
         return self._records.records
 
     def changes_since(self, revision: int) -> tuple[EndpointEntry, ...]:
-        """Returns the endpoints changed after a revision."""
+        """Returns the endpoints that changed after a revision."""
         if revision == self.revision:
-            # Nearly every renewal; the leader answers hundreds a second.
+            # The case of nearly every renewal; the leader answers hundreds
+            # of renewals per second.
             return ()
         return tuple(
             entry
@@ -320,7 +330,7 @@
         )
 
     def snapshot(self) -> bytes:
-        """Encodes the whole state."""
+        """Encodes the complete state."""
         return _SNAPSHOTS.encode(
             _Snapshot(
                 self.rules_version,
@@ -339,28 +349,28 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the whole state by an encoded one."""
-        taken = _SNAPSHOTS.decode(data)
-        self.rules_version = taken.rules_version
-        self.rules_text = taken.rules_text
-        self.revision = taken.revision
-        self.endpoints = {e.endpoint.id: e for e in taken.endpoints}
-        self._records.unpack(taken.records, taken.last_stamp)
-        self._answers = OrderedDict(taken.answers)
-        self.orders_holder = taken.orders_holder
-        self.fencing_number = taken.fencing_number
-        self.deployment = taken.deployment
-        self.document = taken.document
-        self.weights = dict(taken.weights)
-
-
-def still_loads(known: Endpoint, told: Endpoint) -> bool:
-    """Tells whether an endpoint that loads weights has not ended that yet.
-
-    It goes on announcing itself as active meanwhile.
+        """Replaces the complete state with a decoded snapshot."""
+        decoded = _SNAPSHOTS.decode(data)
+        self.rules_version = decoded.rules_version
+        self.rules_text = decoded.rules_text
+        self.revision = decoded.revision
+        self.endpoints = {e.endpoint.id: e for e in decoded.endpoints}
+        self._records.unpack(decoded.records, decoded.last_stamp)
+        self._answers = OrderedDict(decoded.answers)
+        self.orders_holder = decoded.orders_holder
+        self.fencing_number = decoded.fencing_number
+        self.deployment = decoded.deployment
+        self.document = decoded.document
+        self.weights = dict(decoded.weights)
+
+
+def is_still_loading(known: Endpoint, announced: Endpoint) -> bool:
+    """Returns whether an endpoint has not finished loading weights.
+
+    It keeps announcing itself as active while it loads them.
     """
     return (
         known.status is EndpointStatus.LOADING
-        and told.status is EndpointStatus.ACTIVE
-        and known.weights_version == told.weights_version
+        and announced.status is EndpointStatus.ACTIVE
+        and known.weights_version == announced.weights_version
     )
