--- a/knapweedarch/chats.py
+++ b/knapweedarch/chats.py
@@ -45,7 +45,7 @@
 if TYPE_CHECKING:
     from knapweedarch.gateway import RouterPort
 
-NO_NEW_WORK = "this router starts no new work now"
+SEND_REFUSED_MESSAGE = "this router starts no new work now"
 # A runner answers these before it runs anything.
 NOT_RUN_REASONS = frozenset(
     {
@@ -75,23 +75,25 @@
         """
         router = self._router
         if reason := router.may_start():
-            raise RefusedError(reason, NO_NEW_WORK)
+            raise RefusedError(reason, SEND_REFUSED_MESSAGE)
         data = await call.read_body(router.max_body_bytes)
         arrived = router.clock.now()
         request = parse_chat(data, call, customer, router.rules)
-        ticket = await self._ticket(request, customer, request_id, arrived)
+        ticket = await self._create_ticket(
+            request, customer, request_id, arrived
+        )
         sink: Sink = EventSink(call, request_id)
         if not request.stream:
             sink = WholeSink(call, request_id, request.rule.name)
         run = ChatRun(router, self._background, request, ticket, sink)
-        gone = False
+        caller_disconnected = False
         failure: Exception | None = None
         async with anyio.create_task_group() as group:
 
             async def watch() -> None:
-                nonlocal gone
+                nonlocal caller_disconnected
                 await call.wait_gone()
-                gone = True
+                caller_disconnected = True
                 group.cancel_scope.cancel()
 
             group.start_soon(watch)
@@ -102,12 +104,12 @@
                 # Raised outside the group, which would wrap it.
                 failure = exc
             group.cancel_scope.cancel()
-        if gone and not run.ended:
+        if caller_disconnected and not run.ended:
             raise CallerGoneError("the caller left")
         if failure is not None:
             raise failure
 
-    async def _ticket(
+    async def _create_ticket(
         self,
         request: ChatRequest,
         customer: CustomerRule,
@@ -165,7 +167,7 @@
         decision = await self._router.place(self._ticket)
         while isinstance(decision, Dispatch):
             attempt = decision.attempt
-            refused = await self._try(attempt)
+            refused = await self._run_attempt(attempt)
             if refused is not None:
                 return await self._fail(refused)
             if self._state.finish is not None:
@@ -173,26 +175,26 @@
             decision = await self._place_again(attempt)
         await self._fail(self._refusal(decision))
 
-    async def _try(self, attempt: Attempt) -> RefusedError | None:
+    async def _run_attempt(self, attempt: Attempt) -> RefusedError | None:
         """Makes one attempt; returns a refusal if no other may follow."""
         attempt_id = f"{self._router.incarnation}/{attempt.number}"
         self._state.begin(attempt_id)
         result = AttemptResult(cancelled=True)
-        relay = _Relay(
+        relay = _AttemptRelay(
             self._router, self._state, self._sink, attempt, self.watchdog
         )
         try:
-            await self._relay(attempt, attempt_id, relay)
+            await self._relay_stream(attempt, attempt_id, relay)
             result = AttemptResult(cached_tokens=relay.cached_tokens)
         except SendRefusedError as exc:
             return RefusedError(
                 exc.refusal,
-                NO_NEW_WORK,
+                SEND_REFUSED_MESSAGE,
                 self._current_outcome(),
             )
         except (EndpointError, StreamFault) as exc:
             result = AttemptResult(RetryReason(exc.reason), relay.cached_tokens)
-            self._note_failure(attempt, exc)
+            self._record_failure(attempt, exc)
         finally:
             # A finished stream needs no cancel; an attempt that may still run
             # would hold the runner's slot.
@@ -203,8 +205,8 @@
                 await self._background.start(self._cancel, attempt, attempt_id)
         return None
 
-    async def _relay(
-        self, attempt: Attempt, attempt_id: str, relay: "_Relay"
+    async def _relay_stream(
+        self, attempt: Attempt, attempt_id: str, relay: "_AttemptRelay"
     ) -> None:
         limit_s = max(0.05, self._ticket.deadline - self._router.clock.now())
 
@@ -215,7 +217,7 @@
 
         async with self._router.adapter.open_chat(
             attempt,
-            self._body(),
+            self._request_body(),
             self._ticket.id,
             attempt_id,
             check,
@@ -227,7 +229,7 @@
             self._router.count("requests.finished")
             await self._sink.finish(self._state.finish)
 
-    def _body(self) -> bytes:
+    def _request_body(self) -> bytes:
         fields = dict(self._request.fields)
         fields |= {
             "stream": True,
@@ -247,7 +249,7 @@
                 attempt.endpoint, self._ticket.id, attempt_id
             )
 
-    def _note_failure(
+    def _record_failure(
         self, attempt: Attempt, exc: EndpointError | StreamFault
     ) -> None:
         reason = RetryReason(exc.reason)
@@ -308,7 +310,7 @@
 
 
 @attrs.define
-class _Relay:
+class _AttemptRelay:
     """Passes the tokens of one attempt on.
 
     Attributes:
@@ -323,7 +325,7 @@
     watchdog: Watchdog
     sent: bool = False
     cached_tokens: int | None = None
-    _first: bool = True
+    _before_first_token: bool = True
 
     async def run(self, stream: ChatStream) -> None:
         """Relays until the end mark.
@@ -338,16 +340,16 @@
             watchdog.begin(Step.FIRST_EVENT, stream.first_event_s)
             while events := await stream.read():
                 watchdog.begin(Step.WRITE, WRITE_S)
-                await self._pass_on(events)
+                await self._deliver_chunks(events)
                 if self.state.finish is not None:
                     break
                 watchdog.begin(Step.NEXT_EVENT, STREAM_SILENCE_S)
             watchdog.stop()
         if scope.cancelled_caught:
-            raise self._late(stream)
+            raise self._timeout_error(stream)
         self.state.end()
 
-    def _late(self, stream: ChatStream) -> KnapweedarchError:
+    def _timeout_error(self, stream: ChatStream) -> KnapweedarchError:
         match self.watchdog.expired:
             case Step.WRITE:
                 return SlowCallerError(
@@ -361,26 +363,26 @@
             RetryReason.STREAM_SILENT, f"silent for {STREAM_SILENCE_S} s"
         )
 
-    async def _pass_on(self, events) -> None:
+    async def _deliver_chunks(self, events) -> None:
         chunks: list[Chunk] = []
         try:
             for event in events:
                 if self.state.accept(event):
                     chunks.append(event)
                 if getattr(event, "load", None) is not None:
-                    self._take_load(event)
+                    self._report_load(event)
                 if self.state.finish is not None:
                     return
         finally:
             # What came before a fault is good, and counts as delivered.
             if chunks:
-                self._note_first(chunks[0])
+                self._record_first_token(chunks[0])
                 await self.sink.deliver(chunks)
 
-    def _note_first(self, chunk: Chunk) -> None:
-        if not self._first:
+    def _record_first_token(self, chunk: Chunk) -> None:
+        if not self._before_first_token:
             return
-        self._first = False
+        self._before_first_token = False
         self.cached_tokens = chunk.cached_tokens
         now = self.router.clock.now()
         self.router.scheduler.first_token(self.attempt, now)
@@ -388,9 +390,9 @@
             waited_s = now - self.attempt.ticket.arrived_at
             self.router.timing("first_token", waited_s)
         if chunk.cached_tokens is not None:
-            self._count_prompt(chunk.cached_tokens)
+            self._count_prompt_tokens(chunk.cached_tokens)
 
-    def _count_prompt(self, cached_tokens: int) -> None:
+    def _count_prompt_tokens(self, cached_tokens: int) -> None:
         """Counts what the runner found in its cache and what it computed."""
         attempt = self.attempt
         computed = max(0, attempt.ticket.prompt_tokens - cached_tokens)
@@ -399,7 +401,7 @@
         self.router.count("tokens.computed", computed)
         self.router.count("tokens.wasted", max(0, expected - cached_tokens))
 
-    def _take_load(self, event: Chunk | Finish) -> None:
+    def _report_load(self, event: Chunk | Finish) -> None:
         endpoint = self.attempt.endpoint
         report = attrs.evolve(
             event.load,
