--- a/knapweedarch/adapters.py
+++ b/knapweedarch/adapters.py
@@ -138,7 +138,7 @@
             waited = self._clock.now() - started
             stream = ChatStream(exchange, max(0.0, first_event_s - waited))
             yield stream
-            await stream.finish_body()
+            await stream.drain_body()
 
     async def call_service(
         self,
--- a/knapweedarch/chat_requests.py
+++ b/knapweedarch/chat_requests.py
@@ -14,9 +14,9 @@
 )
 
 DEFAULT_MAX_TOKENS = 1024
-MAX_MAX_TOKENS = 131_072
+MAX_TOKENS_LIMIT = 131_072
 # Fields that the router itself puts into a runner's body.
-OWN_FIELDS = frozenset({"prefix_blocks", "resume"})
+RESERVED_FIELDS = frozenset({"prefix_blocks", "resume"})
 # Fields whose answers carry more than text, which a resume could not carry on.
 UNSUPPORTED_FIELDS = frozenset({"tools", "functions", "logprobs"})
 
@@ -59,10 +59,10 @@
         raise _bad_body("messages must be a list that is not empty")
     if not all(isinstance(m, dict) and "role" in m for m in messages):
         raise _bad_body("each message must be an object with a role")
-    if own := OWN_FIELDS & fields.keys():
-        raise _bad_body(f"the fields {sorted(own)} are set by the router")
-    if found := {f for f in UNSUPPORTED_FIELDS if fields.get(f)}:
-        raise _bad_body(f"the fields {sorted(found)} are not supported")
+    if reserved := RESERVED_FIELDS & fields.keys():
+        raise _bad_body(f"the fields {sorted(reserved)} are set by the router")
+    if unsupported := {f for f in UNSUPPORTED_FIELDS if fields.get(f)}:
+        raise _bad_body(f"the fields {sorted(unsupported)} are not supported")
     if fields.get("n") not in (None, 1):
         raise _bad_body("n must be 1")
     return ChatRequest(
@@ -95,8 +95,8 @@
     value = fields.get("max_completion_tokens", fields.get("max_tokens"))
     if value is None:
         return DEFAULT_MAX_TOKENS
-    if type(value) is not int or not 1 <= value <= MAX_MAX_TOKENS:
-        raise _bad_body(f"max_tokens must be 1 to {MAX_MAX_TOKENS}")
+    if type(value) is not int or not 1 <= value <= MAX_TOKENS_LIMIT:
+        raise _bad_body(f"max_tokens must be 1 to {MAX_TOKENS_LIMIT}")
     return value
 
 
--- a/knapweedarch/chat_streams.py
+++ b/knapweedarch/chat_streams.py
@@ -10,10 +10,10 @@
 from knapweedarch.models import RetryReason
 from knapweedarch.streams import SseDecoder, StreamEvent, parse_event
 
-STREAM_SILENCE_S = 2.0
+STREAM_IDLE_TIMEOUT_S = 2.0
 # Time to wait for the end of the body after the end mark, so that the
 # connection can be used again; the caller has its answer by then.
-END_OF_BODY_S = 0.05
+END_OF_BODY_TIMEOUT_S = 0.05
 
 
 class ChatStream:
@@ -49,10 +49,10 @@
         """Builds the error for a failure of this attempt."""
         return self._exchange.failed(reason, message)
 
-    async def finish_body(self) -> None:
+    async def drain_body(self) -> None:
         """Reads the end of the body, so that the connection can be kept."""
         with (
             contextlib.suppress(httpx.HTTPError),
-            anyio.move_on_after(END_OF_BODY_S),
+            anyio.move_on_after(END_OF_BODY_TIMEOUT_S),
         ):
             await anext(self._body, None)
--- a/knapweedarch/chats.py
+++ b/knapweedarch/chats.py
@@ -18,7 +18,7 @@
     may_send,
 )
 from knapweedarch.chat_requests import ChatRequest, parse_chat, prompt_bytes
-from knapweedarch.chat_streams import STREAM_SILENCE_S, ChatStream
+from knapweedarch.chat_streams import STREAM_IDLE_TIMEOUT_S, ChatStream
 from knapweedarch.exceptions import EndpointError, KnapweedarchError
 from knapweedarch.exchanges import SendRefusedError
 from knapweedarch.models import (
@@ -343,7 +343,7 @@
                 await self._deliver_chunks(events)
                 if self.state.finish is not None:
                     break
-                watchdog.begin(Step.NEXT_EVENT, STREAM_SILENCE_S)
+                watchdog.begin(Step.NEXT_EVENT, STREAM_IDLE_TIMEOUT_S)
             watchdog.stop()
         if scope.cancelled_caught:
             raise self._timeout_error(stream)
@@ -360,7 +360,7 @@
                     RetryReason.FIRST_TOKEN_TIMEOUT, "the first token is late"
                 )
         return stream.failed(
-            RetryReason.STREAM_SILENT, f"silent for {STREAM_SILENCE_S} s"
+            RetryReason.STREAM_SILENT, f"silent for {STREAM_IDLE_TIMEOUT_S} s"
         )
 
     async def _deliver_chunks(self, events) -> None:
