--- a/knapweedarch/service_calls.py
+++ b/knapweedarch/service_calls.py
@@ -89,7 +89,7 @@
     return key
 
 
-def too_large(limit: int = 0) -> RefusedError:
+def answer_too_large_error(limit: int = 0) -> RefusedError:
     """Builds the refusal of an answer that exceeds a bound in bytes."""
     stored = f"; answers over {limit} bytes are not recorded" if limit else ""
     return RefusedError(
@@ -99,7 +99,7 @@
     )
 
 
-def in_progress() -> RefusedError:
+def in_progress_error() -> RefusedError:
     """Builds the refusal of a resend while the first call runs."""
     return RefusedError(
         RefusalReason.IN_PROGRESS,
@@ -108,7 +108,7 @@
     )
 
 
-def unknown() -> RefusedError:
+def outcome_unknown_error() -> RefusedError:
     """Builds the refusal of a call that may or may not have run."""
     return RefusedError(
         RefusalReason.OUTCOME_UNKNOWN,
@@ -117,7 +117,7 @@
     )
 
 
-def stopped(exc: SendRefusedError, written: bool) -> RefusedError:
+def send_refused_error(exc: SendRefusedError, written: bool) -> RefusedError:
     """Builds the refusal of a call that this router may not send."""
     return RefusedError(
         exc.refusal,
--- a/knapweedarch/services.py
+++ b/knapweedarch/services.py
@@ -30,12 +30,12 @@
 from knapweedarch.retries import RetryBudget, RetryConfig, back_off_s
 from knapweedarch.service_calls import (
     ServiceCall,
+    answer_too_large_error,
     idempotency_key,
-    in_progress,
+    in_progress_error,
+    outcome_unknown_error,
+    send_refused_error,
     split_path,
-    stopped,
-    too_large,
-    unknown,
 )
 from knapweedarch.state import (
     Record,
@@ -51,20 +51,20 @@
     from knapweedarch.gateway import RouterPort
 
 # Repeating them after bytes were written is harmless by the HTTP standard.
-REPEATABLE_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
-METHODS = REPEATABLE_METHODS | {"POST", "PATCH"}
+IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
+METHODS = IDEMPOTENT_METHODS | {"POST", "PATCH"}
 FORWARDED_HEADERS = ("content-type", "accept", "idempotency-key")
 MAX_STORED_BYTES = 64 * 1024
-MAX_CALLS = 256
-MAX_TRIES = 3
-RESERVE_S = 3.0
-SETTLE_S = 3.0
+MAX_RUNNING_CALLS = 256
+MAX_ATTEMPTS = 3
+RESERVE_TIMEOUT_S = 3.0
+SETTLE_TIMEOUT_S = 3.0
 # Settling goes on in the background for this long; after that the record
-# becomes `unknown` when the lease of this router ends.
+# becomes `outcome_unknown_error` when the lease of this router ends.
 SETTLE_LIMIT_S = 30.0
-SETTLE_RETRY_S = 0.25
-POLL_S = 0.1
-POLL_MOST_S = 1.0
+SETTLE_RETRY_DELAY_S = 0.25
+POLL_INTERVAL_S = 0.1
+MAX_POLL_INTERVAL_S = 1.0
 
 
 class ServiceHandler:
@@ -75,9 +75,9 @@
         self._background = background
         self._running = 0
         self._numbers = itertools.count(1)
-        self._budget = RetryBudget(RetryConfig())
+        self._retry_budget = RetryBudget(RetryConfig())
         self._random = random.Random(router.incarnation)
-        self._open_keys: dict[str, anyio.Event] = {}
+        self._running_keys: dict[str, anyio.Event] = {}
 
     async def handle(
         self, call: Call, customer: CustomerRule, request_id: str
@@ -87,17 +87,17 @@
         Raises:
             RefusedError: There is no answer of the service.
         """
-        checked = await self._check(call, customer, request_id)
-        self._refuse_early(checked)
+        service_call = await self._parse_call(call, customer, request_id)
+        self._check_admission(service_call)
         self._running += 1
         try:
-            if checked.key:
+            if service_call.key:
                 # It must be settled even if the server ends its handlers.
                 answer = await self._background.complete(
-                    self._run_once, checked
+                    self._run_at_most_once, service_call
                 )
             else:
-                answer = await self._run_repeatable(checked)
+                answer = await self._send_with_retries(service_call)
         finally:
             self._running -= 1
         self._router.count("requests.finished")
@@ -108,17 +108,17 @@
             {"x-request-id": request_id},
         )
 
-    def _refuse_early(self, checked: ServiceCall) -> None:
+    def _check_admission(self, service_call: ServiceCall) -> None:
         reason, message = self._router.may_start(), "no new work starts here"
-        if reason is None and self._running >= MAX_CALLS:
+        if reason is None and self._running >= MAX_RUNNING_CALLS:
             reason = RefusalReason.QUEUE_FULL
-            message = f"{MAX_CALLS} calls are running"
+            message = f"{MAX_RUNNING_CALLS} calls are running"
         if reason is not None:
             # An earlier call with this key may have run on another router.
-            outcome = Outcome.UNKNOWN if checked.key else Outcome.NOT_RUN
+            outcome = Outcome.UNKNOWN if service_call.key else Outcome.NOT_RUN
             raise RefusedError(reason, message, outcome)
 
-    async def _check(
+    async def _parse_call(
         self, call: Call, customer: CustomerRule, request_id: str
     ) -> ServiceCall:
         name, path = split_path(call.path)
@@ -149,11 +149,11 @@
             record_key(customer.name, name, key) if key else "",
         )
 
-    def _remaining_s(self, checked: ServiceCall) -> float:
-        return max(0.0, checked.deadline - self._router.clock.now())
+    def _remaining_s(self, service_call: ServiceCall) -> float:
+        return max(0.0, service_call.deadline - self._router.clock.now())
 
-    def _endpoints(self, checked: ServiceCall) -> list[Endpoint]:
-        endpoints = self._router.service_endpoints(checked.rule.name)
+    def _endpoints(self, service_call: ServiceCall) -> list[Endpoint]:
+        endpoints = self._router.service_endpoints(service_call.rule.name)
         if not endpoints:
             raise RefusedError(
                 RefusalReason.NO_CAPACITY, "no endpoint serves this service"
@@ -163,7 +163,7 @@
     async def _send(
         self,
         endpoint: Endpoint,
-        checked: ServiceCall,
+        service_call: ServiceCall,
         limit_s: float,
         may_send_now: Callable[[], RefusalReason | None],
     ) -> ServiceAnswer:
@@ -171,112 +171,121 @@
         try:
             return await self._router.adapter.call_service(
                 endpoint,
-                checked.method,
-                checked.path,
-                {**checked.headers, "x-attempt-id": attempt_id},
-                checked.body,
+                service_call.method,
+                service_call.path,
+                {**service_call.headers, "x-attempt-id": attempt_id},
+                service_call.body,
                 limit_s,
                 may_send_now,
-                own_connection=bool(checked.key),
+                own_connection=bool(service_call.key),
             )
         except SendRefusedError:
             raise
         except EndpointError as exc:
-            self._note_failure(endpoint, checked, exc)
+            self._record_failure(endpoint, service_call, exc)
             raise
 
-    def _note_failure(
-        self, endpoint: Endpoint, checked: ServiceCall, exc: EndpointError
+    def _record_failure(
+        self, endpoint: Endpoint, service_call: ServiceCall, exc: EndpointError
     ) -> None:
         self._router.count(f"retried.{exc.reason}")
         if exc.reason == RetryReason.CROSSED_ANSWER:
             self._router.count("crossed.dropped")
         self._router.log(
             "attempt_failed",
-            request=checked.request_id,
+            request=service_call.request_id,
             endpoint=endpoint.id,
             reason=exc.reason,
             message=str(exc),
         )
 
-    async def _run_repeatable(self, checked: ServiceCall) -> ServiceAnswer:
+    async def _send_with_retries(
+        self, service_call: ServiceCall
+    ) -> ServiceAnswer:
         """Tries endpoints in turn, within the retry budget."""
-        endpoints = self._endpoints(checked)
-        self._budget.first_attempt()
+        endpoints = self._endpoints(service_call)
+        self._retry_budget.first_attempt()
         written = False
-        for number in range(MAX_TRIES):
+        for number in range(MAX_ATTEMPTS):
             endpoint = endpoints[number % len(endpoints)]
             # Half of the time is kept for another endpoint.
-            part = 1.0 if number == MAX_TRIES - 1 else 0.5
+            time_share = 1.0 if number == MAX_ATTEMPTS - 1 else 0.5
             try:
                 answer = await self._send(
                     endpoint,
-                    checked,
-                    part * self._remaining_s(checked),
+                    service_call,
+                    time_share * self._remaining_s(service_call),
                     functools.partial(may_send, self._router.may_start),
                 )
-                return _bounded(answer)
+                return _check_size(answer)
             except SendRefusedError as exc:
-                raise stopped(exc, written) from exc
+                raise send_refused_error(exc, written) from exc
             except EndpointError as exc:
                 written = written or exc.written
-                if written and checked.method not in REPEATABLE_METHODS:
+                if written and service_call.method not in IDEMPOTENT_METHODS:
                     break
-                if not self._budget.take():
+                if not self._retry_budget.take():
                     break
             if number + 1 >= len(endpoints):
                 delay = back_off_s(RetryConfig(), number + 1, self._random)
-                await anyio.sleep(min(delay, self._remaining_s(checked)))
+                await anyio.sleep(min(delay, self._remaining_s(service_call)))
         raise RefusedError(
             RefusalReason.ENDPOINT_FAILED,
             "no endpoint of this service gave a whole answer",
             Outcome.UNKNOWN if written else Outcome.NOT_RUN,
         )
 
-    async def _run_once(self, checked: ServiceCall) -> ServiceAnswer:
+    async def _run_at_most_once(
+        self, service_call: ServiceCall
+    ) -> ServiceAnswer:
         """Runs a call at most once over all routers.
 
         Raises:
             RefusedError: The call has no answer; its outcome tells why.
         """
-        poll_s = POLL_S
+        poll_s = POLL_INTERVAL_S
         while True:
-            await self._wait_for_key(checked)
-            closed = self._open_keys[checked.record_key] = anyio.Event()
+            await self._wait_for_key(service_call)
+            finished = self._running_keys[service_call.record_key] = (
+                anyio.Event()
+            )
             try:
-                answer = await self._reserve_and_send(checked)
+                answer = await self._reserve_and_send(service_call)
             finally:
-                del self._open_keys[checked.record_key]
-                closed.set()
+                del self._running_keys[service_call.record_key]
+                finished.set()
             if answer is not None:
                 return answer
-            remaining_s = self._remaining_s(checked)
+            remaining_s = self._remaining_s(service_call)
             if remaining_s <= 0:
-                raise in_progress()
+                raise in_progress_error()
             await anyio.sleep(min(poll_s, remaining_s))
-            poll_s = min(2 * poll_s, POLL_MOST_S)
+            poll_s = min(2 * poll_s, MAX_POLL_INTERVAL_S)
 
-    async def _wait_for_key(self, checked: ServiceCall) -> None:
+    async def _wait_for_key(self, service_call: ServiceCall) -> None:
         """Waits until this router runs no call with the same key."""
-        while open_call := self._open_keys.get(checked.record_key):
-            with anyio.move_on_after(self._remaining_s(checked)) as scope:
-                await open_call.wait()
+        while running_call := self._running_keys.get(service_call.record_key):
+            with anyio.move_on_after(self._remaining_s(service_call)) as scope:
+                await running_call.wait()
             if scope.cancelled_caught:
-                raise in_progress()
+                raise in_progress_error()
 
     async def _reserve_and_send(
-        self, checked: ServiceCall
+        self, service_call: ServiceCall
     ) -> ServiceAnswer | None:
         """Returns None while another router runs the call."""
         holder = f"{self._router.incarnation}/{next(self._numbers)}"
         epoch = self._router.lease_epoch()
-        reserve = Reserve(checked.record_key, checked.digest, holder, 0.0)
+        reserve = Reserve(
+            service_call.record_key, service_call.digest, holder, 0.0
+        )
         try:
-            result = await self._router.submit(reserve, RESERVE_S)
+            result = await self._router.submit(reserve, RESERVE_TIMEOUT_S)
         except ControlError as exc:
             # The reservation may have been recorded; nobody will use it.
             await self._background.start(
-                self._settle, Settle(checked.record_key, holder, None)
+                self._settle_with_retries,
+                Settle(service_call.record_key, holder, None),
             )
             raise RefusedError(
                 RefusalReason.CONTROL_UNAVAILABLE,
@@ -285,12 +294,12 @@
             ) from exc
         match result:
             case Reserved():
-                return await self._send_reserved(checked, holder, epoch)
+                return await self._send_reserved(service_call, holder, epoch)
             case RecordFound(record=record) if record.holder == holder:
                 # The first answer to this reservation was lost.
-                return await self._send_reserved(checked, holder, epoch)
+                return await self._send_reserved(service_call, holder, epoch)
             case RecordFound(record=record):
-                return _recorded(record, checked)
+                return _recorded_answer(record, service_call)
         raise RefusedError(
             RefusalReason.TOO_MANY_RECORDS, "too many keys are recorded"
         )
@@ -307,55 +316,61 @@
         return reason
 
     async def _send_reserved(
-        self, checked: ServiceCall, holder: str, epoch: int
+        self, service_call: ServiceCall, holder: str, epoch: int
     ) -> ServiceAnswer:
-        settle = Settle(checked.record_key, holder, None)
-        for endpoint in self._router.service_endpoints(checked.rule.name):
+        settle = Settle(service_call.record_key, holder, None)
+        for endpoint in self._router.service_endpoints(service_call.rule.name):
             try:
                 answer = await self._send(
                     endpoint,
-                    checked,
-                    checked.rule.timeout_s,
+                    service_call,
+                    service_call.rule.timeout_s,
                     functools.partial(self._may_send_under, epoch),
                 )
             except SendRefusedError as exc:
-                await self._settle_now(settle)
-                raise stopped(exc, written=False) from exc
+                await self._settle_or_retry_later(settle)
+                raise send_refused_error(exc, written=False) from exc
             except EndpointError as exc:
                 if not exc.written:
                     continue
-                await self._settle_now(
+                await self._settle_or_retry_later(
                     attrs.evolve(settle, status=RecordStatus.UNKNOWN)
                 )
-                self._router.log("outcome_unknown", request=checked.request_id)
-                raise unknown() from exc
-            await self._settle_now(_settle_answer(settle, answer))
-            return _bounded(answer)
-        await self._settle_now(settle)
+                self._router.log(
+                    "outcome_unknown", request=service_call.request_id
+                )
+                raise outcome_unknown_error() from exc
+            await self._settle_or_retry_later(
+                _settle_with_answer(settle, answer)
+            )
+            return _check_size(answer)
+        await self._settle_or_retry_later(settle)
         raise RefusedError(
             RefusalReason.NO_CAPACITY, "no endpoint took the connection"
         )
 
-    async def _settle_now(self, settle: Settle) -> None:
+    async def _settle_or_retry_later(self, settle: Settle) -> None:
         """Settles, and goes on in the background if that fails."""
         try:
-            await self._router.submit(settle, SETTLE_S)
+            await self._router.submit(settle, SETTLE_TIMEOUT_S)
         except ControlError:
-            await self._background.start(self._settle, settle)
+            await self._background.start(self._settle_with_retries, settle)
 
-    async def _settle(self, settle: Settle) -> None:
-        until = self._router.clock.now() + SETTLE_LIMIT_S
-        while self._router.clock.now() < until:
+    async def _settle_with_retries(self, settle: Settle) -> None:
+        settle_deadline = self._router.clock.now() + SETTLE_LIMIT_S
+        while self._router.clock.now() < settle_deadline:
             try:
-                await self._router.submit(settle, SETTLE_S)
+                await self._router.submit(settle, SETTLE_TIMEOUT_S)
                 return
             except ControlError:
-                await anyio.sleep(SETTLE_RETRY_S)
+                await anyio.sleep(SETTLE_RETRY_DELAY_S)
 
 
-def _recorded(record: Record, checked: ServiceCall) -> ServiceAnswer | None:
+def _recorded_answer(
+    record: Record, service_call: ServiceCall
+) -> ServiceAnswer | None:
     """Returns the recorded answer, or None while the call is running."""
-    if record.body_digest != checked.digest:
+    if record.body_digest != service_call.digest:
         raise RefusedError(
             RefusalReason.KEY_REUSED,
             "the Idempotency-Key belongs to another request",
@@ -366,14 +381,14 @@
                 record.code, record.content_type, record.answer
             )
         case RecordStatus.UNKNOWN:
-            raise unknown()
+            raise outcome_unknown_error()
     return None
 
 
-def _settle_answer(settle: Settle, answer: ServiceAnswer) -> Settle:
+def _settle_with_answer(settle: Settle, answer: ServiceAnswer) -> Settle:
     """Records the answer, or that it was too large to be recorded."""
     if answer.too_large or len(answer.body) > MAX_STORED_BYTES:
-        refused = too_large(MAX_STORED_BYTES)
+        refused = answer_too_large_error(MAX_STORED_BYTES)
         answer = ServiceAnswer(refused.code, JSON_TYPE, refused.body())
     return attrs.evolve(
         settle,
@@ -384,7 +399,7 @@
     )
 
 
-def _bounded(answer: ServiceAnswer) -> ServiceAnswer:
+def _check_size(answer: ServiceAnswer) -> ServiceAnswer:
     if answer.too_large:
-        raise too_large()
+        raise answer_too_large_error()
     return answer
