--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -10,7 +10,7 @@
     MAX_RESUME_CHARS,
     Chunk,
     SseDecoder,
-    StreamFault,
+    StreamProtocolError,
     StreamState,
     parse_event,
 )
@@ -156,7 +156,7 @@
         data = encode(faulty_events(rng, events, fault))
         try:
             relay_attempt(rng, state, caller, data)
-        except StreamFault:
+        except StreamProtocolError:
             continue
         caller.whole = True
         return caller
--- a/knapweedarch/adapters.py
+++ b/knapweedarch/adapters.py
@@ -34,7 +34,7 @@
 from knapweedarch.orders import ORDER_TIMEOUT_S
 from knapweedarch.streams import (
     SseDecoder,
-    StreamFault,
+    StreamProtocolError,
 )
 from knapweedarch.timers import Clock, ManualClock
 from knapweedarch.transports import CONNECT_S, EndpointTransport
@@ -347,7 +347,12 @@
                 raise exchange.failed(
                     RetryReason.CONNECTION_CLOSED, repr(exc)
                 ) from exc
-            except (ValueError, KeyError, TypeError, StreamFault) as exc:
+            except (
+                ValueError,
+                KeyError,
+                TypeError,
+                StreamProtocolError,
+            ) as exc:
                 raise exchange.failed(
                     RetryReason.ENDPOINT_ERROR, f"unreadable feed: {exc!r}"
                 ) from exc
--- a/knapweedarch/chats.py
+++ b/knapweedarch/chats.py
@@ -38,8 +38,8 @@
     hash_steps,
     make_salt,
 )
-from knapweedarch.sinks import EventSink, Sink, WholeSink
-from knapweedarch.streams import Chunk, Finish, StreamFault, StreamState
+from knapweedarch.sinks import BufferedSink, EventSink, Sink
+from knapweedarch.streams import Chunk, Finish, StreamProtocolError, StreamState
 from knapweedarch.watchdogs import Step, Watchdog
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
         )
         sink: Sink = EventSink(call, request_id)
         if not request.stream:
-            sink = WholeSink(call, request_id, request.rule.name)
+            sink = BufferedSink(call, request_id, request.rule.name)
         run = ChatRun(router, self._background, request, ticket, sink)
         caller_disconnected = False
         failure: Exception | None = None
@@ -192,7 +192,7 @@
                 SEND_REFUSED_MESSAGE,
                 self._current_outcome(),
             )
-        except (EndpointError, StreamFault) as exc:
+        except (EndpointError, StreamProtocolError) as exc:
             result = AttemptResult(RetryReason(exc.reason), relay.cached_tokens)
             self._record_failure(attempt, exc)
         finally:
@@ -250,7 +250,7 @@
             )
 
     def _record_failure(
-        self, attempt: Attempt, exc: EndpointError | StreamFault
+        self, attempt: Attempt, exc: EndpointError | StreamProtocolError
     ) -> None:
         reason = RetryReason(exc.reason)
         written = not isinstance(exc, EndpointError) or exc.written
--- a/knapweedarch/sinks.py
+++ b/knapweedarch/sinks.py
@@ -9,7 +9,7 @@
 from knapweedarch.models import Outcome, RefusalReason
 from knapweedarch.streams import Chunk, Finish
 
-MAX_WHOLE_BYTES = 8 * 1024 * 1024
+MAX_ANSWER_CHARS = 8 * 1024 * 1024
 
 
 class Sink(Protocol):
@@ -63,7 +63,7 @@
 
 
 @attrs.define
-class WholeSink:
+class BufferedSink:
     """Assembles the whole answer."""
 
     call: Call
@@ -76,15 +76,15 @@
         """Keeps the text.
 
         Raises:
-            RefusedError: The answer exceeds `MAX_WHOLE_BYTES`.
+            RefusedError: The answer exceeds `MAX_ANSWER_CHARS`.
         """
         for chunk in chunks:
             self._parts.append(chunk.text)
             self._size += len(chunk.text)
-        if self._size > MAX_WHOLE_BYTES:
+        if self._size > MAX_ANSWER_CHARS:
             raise RefusedError(
                 RefusalReason.ANSWER_TOO_LARGE,
-                f"the answer exceeds {MAX_WHOLE_BYTES} characters",
+                f"the answer exceeds {MAX_ANSWER_CHARS} characters",
                 Outcome.RUN,
             )
 
--- a/knapweedarch/streams.py
+++ b/knapweedarch/streams.py
@@ -17,7 +17,7 @@
 MAX_RESUME_CHARS = 1024 * 1024
 # Longest event accepted from a runner; real ones have a few hundred bytes.
 MAX_EVENT_BYTES = 256 * 1024
-DONE_DATA = b"[DONE]"
+DONE_MARKER = b"[DONE]"
 DATA_PREFIX = b"data:"
 
 
@@ -84,7 +84,7 @@
 StreamEvent = Chunk | Finish | Done | Malformed
 
 
-class StreamFault(KnapweedarchError):
+class StreamProtocolError(KnapweedarchError):
     """An attempt broke the rules of a stream; nothing of the event counts.
 
     Attributes:
@@ -100,7 +100,7 @@
     """Splits a byte stream into the data of its server-sent events."""
 
     def __init__(self):
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> list[bytes]:
         """Returns the data of the events completed by these bytes.
@@ -110,12 +110,12 @@
         Raises:
             StreamFault: An event is longer than `MAX_EVENT_BYTES`.
         """
-        if self._rest:
-            data = self._rest + data
+        if self._buffer:
+            data = self._buffer + data
         lines = data.split(b"\n")
-        self._rest = lines.pop()
-        if len(self._rest) > MAX_EVENT_BYTES:
-            raise StreamFault(
+        self._buffer = lines.pop()
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise StreamProtocolError(
                 RetryReason.ENDPOINT_ERROR,
                 f"an event is longer than {MAX_EVENT_BYTES} bytes",
             )
@@ -128,7 +128,7 @@
 
 def parse_event(data: bytes) -> StreamEvent:
     """Parses the data of one event of a runner's stream."""
-    if data == DONE_DATA:
+    if data == DONE_MARKER:
         return Done()
     try:
         # Decoding first spares json.loads the detection of the encoding.
@@ -199,9 +199,9 @@
         self.attempts = 0
         self._request_id = request_id
         self._attempt_id = ""
-        self._pending: Finish | None = None
+        self._pending_finish: Finish | None = None
         self._parts: list[str] = []
-        self._kept_chars = 0
+        self._text_chars = 0
 
     @property
     def started(self) -> bool:
@@ -211,7 +211,7 @@
     @property
     def resumable(self) -> bool:
         """Whether the text so far is kept and can be given to a runner."""
-        return self._kept_chars <= MAX_RESUME_CHARS
+        return self._text_chars <= MAX_RESUME_CHARS
 
     @property
     def text(self) -> str:
@@ -222,7 +222,7 @@
         """Starts an attempt that continues at `offset`."""
         self.attempts += 1
         self._attempt_id = attempt_id
-        self._pending = None
+        self._pending_finish = None
 
     def accept(self, event: StreamEvent) -> bool:
         """Checks an event of the current attempt.
@@ -240,14 +240,14 @@
             case Finish():
                 self._accept_finish(event)
             case Done():
-                if self._pending is None:
-                    raise StreamFault(
+                if self._pending_finish is None:
+                    raise StreamProtocolError(
                         RetryReason.STREAM_TRUNCATED,
                         "the end mark came before the finishing event",
                     )
-                self.finish = self._pending
+                self.finish = self._pending_finish
             case Malformed(message=message):
-                raise StreamFault(RetryReason.ENDPOINT_ERROR, message)
+                raise StreamProtocolError(RetryReason.ENDPOINT_ERROR, message)
         return False
 
     def end(self) -> None:
@@ -257,56 +257,56 @@
             StreamFault: The end mark is missing.
         """
         if self.finish is None:
-            raise StreamFault(
+            raise StreamProtocolError(
                 RetryReason.STREAM_TRUNCATED,
                 f"the stream ended after {self.offset} tokens without end mark",
             )
 
     def _accept_chunk(self, chunk: Chunk) -> None:
         self._check_ids(chunk)
-        if self._pending is not None:
-            raise StreamFault(
+        if self._pending_finish is not None:
+            raise StreamProtocolError(
                 RetryReason.STREAM_GAP, "tokens came after the finishing event"
             )
         if chunk.offset != self.offset:
-            raise StreamFault(
+            raise StreamProtocolError(
                 RetryReason.STREAM_GAP,
                 f"offset {chunk.offset} came instead of {self.offset}",
             )
         if chunk.tokens < 0 or (chunk.tokens == 0 and chunk.text):
-            raise StreamFault(
+            raise StreamProtocolError(
                 RetryReason.STREAM_GAP, "an event has text but no tokens"
             )
         self.offset += chunk.tokens
-        self._keep(chunk.text)
+        self._append_text(chunk.text)
 
     def _accept_finish(self, finish: Finish) -> None:
         self._check_ids(finish)
-        if self._pending is not None:
-            raise StreamFault(
+        if self._pending_finish is not None:
+            raise StreamProtocolError(
                 RetryReason.STREAM_GAP, "two finishing events came"
             )
-        told = finish.usage.get("completion_tokens", self.offset)
-        if finish.offset != self.offset or told != self.offset:
-            raise StreamFault(
+        reported_tokens = finish.usage.get("completion_tokens", self.offset)
+        if finish.offset != self.offset or reported_tokens != self.offset:
+            raise StreamProtocolError(
                 RetryReason.STREAM_GAP,
-                f"the answer has {told} tokens; {self.offset} came",
+                f"the answer has {reported_tokens} tokens; {self.offset} came",
             )
-        self._pending = finish
+        self._pending_finish = finish
 
     def _check_ids(self, event: Chunk | Finish) -> None:
         if (event.request_id, event.attempt_id) != (
             self._request_id,
             self._attempt_id,
         ):
-            raise StreamFault(
+            raise StreamProtocolError(
                 RetryReason.CROSSED_ANSWER,
                 f"an event of attempt {event.attempt_id} came",
             )
 
-    def _keep(self, text: str) -> None:
+    def _append_text(self, text: str) -> None:
         if not text:
             return
-        self._kept_chars += len(text)
+        self._text_chars += len(text)
         if self.resumable:
             self._parts.append(text)
