--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -154,8 +154,8 @@
 
 @given("callers may take no data for {limit:g} s")
 def slow_limit(context, limit):
-    before, chats.WRITE_S = chats.WRITE_S, limit
-    context.add_cleanup(setattr, chats, "WRITE_S", before)
+    before, chats.WRITE_TIMEOUT_S = chats.WRITE_TIMEOUT_S, limit
+    context.add_cleanup(setattr, chats, "WRITE_TIMEOUT_S", before)
 
 
 @given("the lease expires after {checks:d} check")
--- a/knapweedarch/callers.py
+++ b/knapweedarch/callers.py
@@ -11,22 +11,22 @@
 
 # A caller that takes nothing for this long loses its stream. Long enough for
 # a mobile link to change cells, short enough to free the runner's slot.
-WRITE_S = 10.0
+WRITE_TIMEOUT_S = 10.0
 # Longest time for a whole body, so that a slow sender holds no place for good.
-BODY_S = 30.0
+BODY_TIMEOUT_S = 30.0
 # Bodies held at once in a router, waiting or running. A router has 256 MB for
 # its own work; parsed bodies take about as much again.
-MAX_HELD_BYTES = 64 * 1024 * 1024
+MAX_BUFFERED_BYTES = 64 * 1024 * 1024
 # A refused body is read on for a while, because closing a connection with
 # unread data resets it and may destroy the refusal on its way.
-DISCARD_BYTES = 8 * 1024 * 1024
-DISCARD_S = 1.0
+MAX_DISCARD_BYTES = 8 * 1024 * 1024
+DISCARD_TIMEOUT_S = 1.0
 
 Message = MutableMapping[str, object]
 Receive = Callable[[], Awaitable[Message]]
 Send = Callable[[Message], Awaitable[None]]
 
-_CODES = {
+_STATUS_CODES = {
     RefusalReason.BAD_BODY: 400,
     RefusalReason.BODY_TOO_LARGE: 413,
     RefusalReason.UNKNOWN_KEY: 401,
@@ -62,7 +62,7 @@
 
 
 class SlowCallerError(KnapweedarchError):
-    """The caller took no data for `WRITE_S`."""
+    """The caller took no data for `WRITE_TIMEOUT_S`."""
 
 
 class RefusedError(KnapweedarchError):
@@ -91,7 +91,7 @@
     @property
     def code(self) -> int:
         """HTTP status."""
-        return _CODES[self.reason]
+        return _STATUS_CODES[self.reason]
 
     def body(self) -> bytes:
         """Returns the error body."""
@@ -115,20 +115,20 @@
         held: Bytes that they take now.
     """
 
-    limit: int = MAX_HELD_BYTES
-    held: int = 0
+    limit: int = MAX_BUFFERED_BYTES
+    reserved_bytes: int = 0
 
-    def take(self, size: int) -> None:
+    def reserve(self, size: int) -> None:
         """Reserves room for a part of a body.
 
         Raises:
             RefusedError: There is none.
         """
-        if self.held + size > self.limit:
+        if self.reserved_bytes + size > self.limit:
             raise RefusedError(
                 RefusalReason.QUEUE_FULL, "the router holds too many requests"
             )
-        self.held += size
+        self.reserved_bytes += size
 
 
 @attrs.define
@@ -152,7 +152,7 @@
     receive: Receive
     send: Send
     budget: BodyBudget = attrs.field(factory=BodyBudget)
-    held: int = 0
+    reserved_bytes: int = 0
     started: bool = False
 
     def header(self, name: str) -> str:
@@ -164,42 +164,43 @@
 
         Raises:
             RefusedError: The body is longer than `limit` bytes, takes longer
-                than `BODY_S`, or there is no room for it.
+                than `BODY_TIMEOUT_S`, or there is no room for it.
             CallerGoneError: The caller left.
         """
         declared = self.header("content-length")
         if declared.isdecimal() and int(declared) > limit:
-            await self._refuse_body(limit)
-        with anyio.move_on_after(BODY_S):
-            return await self._read_parts(limit)
+            await self._discard_and_refuse(limit)
+        with anyio.move_on_after(BODY_TIMEOUT_S):
+            return await self._read_chunks(limit)
         raise RefusedError(
-            RefusalReason.SLOW_CALLER, f"the body took longer than {BODY_S} s"
+            RefusalReason.SLOW_CALLER,
+            f"the body took longer than {BODY_TIMEOUT_S} s",
         )
 
-    async def _read_parts(self, limit: int) -> bytes:
+    async def _read_chunks(self, limit: int) -> bytes:
         parts: list[bytes] = []
         while True:
             message = await self.receive()
             if message["type"] == "http.disconnect":
                 raise CallerGoneError("the caller left")
             part = message.get("body", b"")
-            self.budget.take(len(part))
-            self.held += len(part)
-            if self.held > limit:
-                await self._refuse_body(limit)
+            self.budget.reserve(len(part))
+            self.reserved_bytes += len(part)
+            if self.reserved_bytes > limit:
+                await self._discard_and_refuse(limit)
             parts.append(part)
             if not message.get("more_body"):
                 return b"".join(parts)
 
     def release(self) -> None:
         """Gives the room of the body back."""
-        self.budget.held -= self.held
-        self.held = 0
+        self.budget.reserved_bytes -= self.reserved_bytes
+        self.reserved_bytes = 0
 
-    async def _refuse_body(self, limit: int) -> None:
+    async def _discard_and_refuse(self, limit: int) -> None:
         discarded, more = 0, True
-        with anyio.move_on_after(DISCARD_S):
-            while more and discarded < DISCARD_BYTES:
+        with anyio.move_on_after(DISCARD_TIMEOUT_S):
+            while more and discarded < MAX_DISCARD_BYTES:
                 message = await self.receive()
                 discarded += len(message.get("body", b""))
                 more = bool(message.get("more_body"))
@@ -208,7 +209,7 @@
             f"the body is longer than {limit} bytes",
         )
 
-    async def wait_gone(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Returns when the caller has closed its connection."""
         while (await self.receive())["type"] != "http.disconnect":
             pass
@@ -256,13 +257,15 @@
         await self.answer(refused.code, refused.body(), JSON_TYPE, fields)
 
     async def _send(self, message: Message) -> None:
-        with anyio.move_on_after(WRITE_S) as scope:
+        with anyio.move_on_after(WRITE_TIMEOUT_S) as scope:
             await self.send(message)
         if scope.cancelled_caught:
-            raise SlowCallerError(f"the caller took no data for {WRITE_S} s")
+            raise SlowCallerError(
+                f"the caller took no data for {WRITE_TIMEOUT_S} s"
+            )
 
 
-def may_send(
+def send_refusal(
     may_start: Callable[[], RefusalReason | None],
 ) -> RefusalReason | None:
     """Returns why an accepted request may not be sent now.
--- a/knapweedarch/chats.py
+++ b/knapweedarch/chats.py
@@ -10,12 +10,12 @@
 
 from knapweedarch.background import Background
 from knapweedarch.callers import (
-    WRITE_S,
+    WRITE_TIMEOUT_S,
     Call,
     CallerGoneError,
     RefusedError,
     SlowCallerError,
-    may_send,
+    send_refusal,
 )
 from knapweedarch.chat_requests import ChatRequest, parse_chat, prompt_bytes
 from knapweedarch.chat_streams import STREAM_IDLE_TIMEOUT_S, ChatStream
@@ -92,7 +92,7 @@
 
             async def watch() -> None:
                 nonlocal caller_disconnected
-                await call.wait_gone()
+                await call.wait_for_disconnect()
                 caller_disconnected = True
                 group.cancel_scope.cancel()
 
@@ -211,7 +211,7 @@
         limit_s = max(0.05, self._ticket.deadline - self._router.clock.now())
 
         def check() -> RefusalReason | None:
-            reason = may_send(self._router.may_start)
+            reason = send_refusal(self._router.may_start)
             relay.sent = reason is None
             return reason
 
@@ -339,7 +339,7 @@
             watchdog.watch(scope)
             watchdog.begin(Step.FIRST_EVENT, stream.first_event_s)
             while events := await stream.read():
-                watchdog.begin(Step.WRITE, WRITE_S)
+                watchdog.begin(Step.WRITE, WRITE_TIMEOUT_S)
                 await self._deliver_chunks(events)
                 if self.state.finish is not None:
                     break
@@ -353,7 +353,7 @@
         match self.watchdog.expired:
             case Step.WRITE:
                 return SlowCallerError(
-                    f"the caller took no data in {WRITE_S} s"
+                    f"the caller took no data in {WRITE_TIMEOUT_S} s"
                 )
             case Step.FIRST_EVENT:
                 return stream.failed(
--- a/knapweedarch/services.py
+++ b/knapweedarch/services.py
@@ -17,7 +17,7 @@
 
 from knapweedarch.adapters import ServiceAnswer
 from knapweedarch.background import Background
-from knapweedarch.callers import JSON_TYPE, Call, RefusedError, may_send
+from knapweedarch.callers import JSON_TYPE, Call, RefusedError, send_refusal
 from knapweedarch.exceptions import ControlError, EndpointError
 from knapweedarch.exchanges import SendRefusedError
 from knapweedarch.models import (
@@ -215,7 +215,7 @@
                     endpoint,
                     service_call,
                     time_share * self._remaining_s(service_call),
-                    functools.partial(may_send, self._router.may_start),
+                    functools.partial(send_refusal, self._router.may_start),
                 )
                 return _check_size(answer)
             except SendRefusedError as exc:
@@ -304,13 +304,13 @@
             RefusalReason.TOO_MANY_RECORDS, "too many keys are recorded"
         )
 
-    def _may_send_under(self, epoch: int) -> RefusalReason | None:
+    def _send_refusal_in_epoch(self, epoch: int) -> RefusalReason | None:
         """Checks that the lease has run without a lapse since `epoch`.
 
         In a lapse the leader may have recorded the call as unknown, after
         which it must not be sent.
         """
-        reason = may_send(self._router.may_start)
+        reason = send_refusal(self._router.may_start)
         if reason is None and self._router.lease_epoch() != epoch:
             return RefusalReason.LEASE_EXPIRED
         return reason
@@ -325,7 +325,7 @@
                     endpoint,
                     service_call,
                     service_call.rule.timeout_s,
-                    functools.partial(self._may_send_under, epoch),
+                    functools.partial(self._send_refusal_in_epoch, epoch),
                 )
             except SendRefusedError as exc:
                 await self._settle_or_retry_later(settle)
--- a/knapweedarch/watchdogs.py
+++ b/knapweedarch/watchdogs.py
@@ -9,7 +9,7 @@
 
 # A step may exceed its limit by up to this much. A cancel scope with a
 # deadline around each read and write cost a fifth of the CPU per token.
-CHECK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 
 
 class Step(enum.Enum):
@@ -32,17 +32,17 @@
     expired: Step | None = None
     _scope: anyio.CancelScope | None = None
     _step: Step = Step.FIRST_EVENT
-    _until: float = 0.0
+    _deadline: float = 0.0
 
     def watch(self, scope: anyio.CancelScope) -> None:
         """Starts watching a scope; the first step must follow."""
         self._scope, self.expired = scope, None
-        self._until = float("inf")
+        self._deadline = float("inf")
 
     def begin(self, step: Step, limit_s: float) -> None:
         """Starts a step, which ends the one before."""
         self._step = step
-        self._until = self._clock.now() + limit_s
+        self._deadline = self._clock.now() + limit_s
 
     def stop(self) -> None:
         """Stops watching."""
@@ -51,8 +51,8 @@
     async def run(self) -> None:
         """Checks until cancelled."""
         while True:
-            await anyio.sleep(CHECK_S)
-            if self._scope and self._clock.now() >= self._until:
+            await anyio.sleep(CHECK_INTERVAL_S)
+            if self._scope and self._clock.now() >= self._deadline:
                 self.expired = self._step
                 self._scope.cancel()
                 self._scope = None
