--- a/bench/relay_bench.py
+++ b/bench/relay_bench.py
@@ -18,7 +18,7 @@
 import httpx
 from hdrh.histogram import HdrHistogram
 
-from knapweedarch.gateway import create_app, tune_listener
+from knapweedarch.gateway import configure_listener, create_app
 from knapweedarch.models import Endpoint, EndpointKind
 from knapweedarch.state import ControlState
 from standins import serving
@@ -132,7 +132,7 @@
             )
         )
     listener = serving.open_listener("127.0.0.1", 0)
-    tune_listener(listener)
+    configure_listener(listener)
     stop = anyio.Event()
     print(f"ready {listener.getsockname()[1]}", flush=True)
     async with anyio.create_task_group() as group:
--- a/features/request_harness.py
+++ b/features/request_harness.py
@@ -10,7 +10,7 @@
 import attrs
 import httpx
 
-from knapweedarch.gateway import Gateway, create_app, tune_listener
+from knapweedarch.gateway import Gateway, configure_listener, create_app
 from knapweedarch.models import Endpoint
 from knapweedarch.state import ControlState
 from standins import serving
@@ -57,7 +57,7 @@
     async def serve(self, app: object) -> str:
         """Serves an ASGI application; returns its base URL."""
         listener = serving.open_listener("127.0.0.1", 0)
-        tune_listener(listener)
+        configure_listener(listener)
         listener.listen(128)
         stop = anyio.Event()
         self._stops.append(stop)
--- a/knapweedarch/background.py
+++ b/knapweedarch/background.py
@@ -16,19 +16,19 @@
 
 # Wait for work still running at shutdown. Longer than a service call and its
 # settling usually take; a reservation left open becomes `unknown`.
-SHUTDOWN_S = 15.0
+SHUTDOWN_TIMEOUT_S = 15.0
 
 Result = TypeVar("Result")
 
 
 @attrs.define
-class _Outcome:
+class _TaskResult:
     done: anyio.Event = attrs.field(factory=anyio.Event)
     value: object = None
     error: Exception | None = None
 
 
-class Background:
+class BackgroundTasks:
     """Runs work in the task group of the server's lifespan.
 
     Without a lifespan the work runs in the task that starts it.
@@ -46,9 +46,9 @@
         if self._group is None:
             with anyio.CancelScope(shield=True):
                 return await function(*arguments)
-        self._group.start_soon(self._run, _Outcome(), function, arguments)
+        self._group.start_soon(self._run, _TaskResult(), function, arguments)
 
-    async def complete(
+    async def run_to_completion(
         self, function: Callable[..., Awaitable[Result]], *arguments: object
     ) -> Result:
         """Runs a function to its end, even if the waiting task is cancelled.
@@ -59,21 +59,21 @@
         if self._group is None:
             with anyio.CancelScope(shield=True):
                 return await function(*arguments)
-        outcome = _Outcome()
-        self._group.start_soon(self._run, outcome, function, arguments)
-        await outcome.done.wait()
-        if outcome.error is not None:
-            raise outcome.error
-        return outcome.value
-
-    async def _run(self, outcome: _Outcome, function, arguments) -> None:
+        task_result = _TaskResult()
+        self._group.start_soon(self._run, task_result, function, arguments)
+        await task_result.done.wait()
+        if task_result.error is not None:
+            raise task_result.error
+        return task_result.value
+
+    async def _run(self, task_result: _TaskResult, function, arguments) -> None:
         self._running += 1
         try:
-            outcome.value = await function(*arguments)
+            task_result.value = await function(*arguments)
         except Exception as exc:
-            outcome.error = exc
+            task_result.error = exc
         finally:
-            outcome.done.set()
+            task_result.done.set()
             self._running -= 1
             if self._running == 0:
                 self._idle.set()
@@ -84,7 +84,7 @@
             self._group = group
             while (await receive())["type"] != "lifespan.shutdown":
                 await send({"type": "lifespan.startup.complete"})
-            with anyio.move_on_after(SHUTDOWN_S):
+            with anyio.move_on_after(SHUTDOWN_TIMEOUT_S):
                 while self._running:
                     self._idle = anyio.Event()
                     await self._idle.wait()
--- a/knapweedarch/callers.py
+++ b/knapweedarch/callers.py
@@ -266,13 +266,13 @@
 
 
 def send_refusal(
-    may_start: Callable[[], RefusalReason | None],
+    start_refusal: Callable[[], RefusalReason | None],
 ) -> RefusalReason | None:
     """Returns why an accepted request may not be sent now.
 
     A planned stop lets accepted requests finish; an expired lease does not.
     """
-    reason = may_start()
+    reason = start_refusal()
     return None if reason is RefusalReason.STOPPING else reason
 
 
--- a/knapweedarch/chats.py
+++ b/knapweedarch/chats.py
@@ -8,7 +8,7 @@
 import anyio.lowlevel
 import attrs
 
-from knapweedarch.background import Background
+from knapweedarch.background import BackgroundTasks
 from knapweedarch.callers import (
     WRITE_TIMEOUT_S,
     Call,
@@ -59,7 +59,7 @@
 class ChatHandler:
     """Handles `POST /v1/chat/completions`."""
 
-    def __init__(self, router: "RouterPort", background: Background):
+    def __init__(self, router: "RouterPort", background: BackgroundTasks):
         self._router = router
         self._background = background
 
@@ -74,7 +74,7 @@
             SlowCallerError: The caller takes no data.
         """
         router = self._router
-        if reason := router.may_start():
+        if reason := router.start_refusal():
             raise RefusedError(reason, SEND_REFUSED_MESSAGE)
         data = await call.read_body(router.max_body_bytes)
         arrived = router.clock.now()
@@ -142,7 +142,7 @@
     def __init__(
         self,
         router: "RouterPort",
-        background: Background,
+        background: BackgroundTasks,
         request: ChatRequest,
         ticket: Ticket,
         sink: Sink,
@@ -211,7 +211,7 @@
         limit_s = max(0.05, self._ticket.deadline - self._router.clock.now())
 
         def check() -> RefusalReason | None:
-            reason = send_refusal(self._router.may_start)
+            reason = send_refusal(self._router.start_refusal)
             relay.sent = reason is None
             return reason
 
--- a/knapweedarch/gateway.py
+++ b/knapweedarch/gateway.py
@@ -10,7 +10,7 @@
 import cattrs
 
 from knapweedarch.adapters import Adapter
-from knapweedarch.background import Background
+from knapweedarch.background import BackgroundTasks
 from knapweedarch.callers import (
     BodyBudget,
     Call,
@@ -42,10 +42,10 @@
 
 MAX_ANNOUNCEMENT_BYTES = 64 * 1024
 MAX_NAME_CHARS = 128
-MAX_SERVED = 64
+MAX_SERVED_NAMES = 64
 # A connection whose peer acknowledges nothing for this long is reset by the
 # kernel. hypercorn waits without limit for a stuck peer when it closes.
-USER_TIMEOUT_MS = 15_000
+TCP_USER_TIMEOUT_MS = 15_000
 # Kernel buffer for what a slow caller has not read; the kernel doubles it.
 # 64 KiB each millisecond of round trip is far more than a stream needs.
 SEND_BUFFER_BYTES = 64 * 1024
@@ -93,7 +93,7 @@
     def customer_for(self, api_key: str) -> CustomerRule | None:
         """Returns the customer of an API key."""
 
-    def may_start(self) -> RefusalReason | None:
+    def start_refusal(self) -> RefusalReason | None:
         """Returns why no new work may start now, or None if it may.
 
         An expired lease comes before `STOPPING`, which does not stop the
@@ -146,8 +146,8 @@
 
     def __init__(self, router: RouterPort):
         self._router = router
-        self._background = Background()
-        self._numbers = itertools.count(1)
+        self._background = BackgroundTasks()
+        self._request_numbers = itertools.count(1)
         self.budget = BodyBudget()
         self._chats = ChatHandler(router, self._background)
         self._services = ServiceHandler(router, self._background)
@@ -168,7 +168,7 @@
         except CallerGoneError:
             self._router.count("cancelled")
         except SlowCallerError as exc:
-            self._count_refusal(RefusalReason.SLOW_CALLER, str(exc))
+            self._record_refusal(RefusalReason.SLOW_CALLER, str(exc))
         except Exception as exc:
             # The server answers 500 or cuts the answer off.
             self._router.log("request_failed", error=repr(exc))
@@ -202,7 +202,7 @@
                 )
 
     def _request_id(self) -> str:
-        return f"{self._router.incarnation}-{next(self._numbers)}"
+        return f"{self._router.incarnation}-{next(self._request_numbers)}"
 
     def _customer(self, call: Call) -> CustomerRule:
         scheme, _, key = call.header("authorization").partition(" ")
@@ -215,11 +215,11 @@
         return customer
 
     async def _refuse(self, call: Call, refused: RefusedError) -> None:
-        self._count_refusal(refused.reason, refused.message)
+        self._record_refusal(refused.reason, refused.message)
         if not call.started:
             await call.refuse(refused)
 
-    def _count_refusal(self, reason: RefusalReason, message: str) -> None:
+    def _record_refusal(self, reason: RefusalReason, message: str) -> None:
         self._router.count(f"refused.{reason.value}")
         self._router.log(
             "request_refused", reason=reason.value, message=message
@@ -236,9 +236,9 @@
         await call.answer_json(200, {"object": "list", "data": data})
 
     async def _announce(self, call: Call) -> None:
-        want = f"Bearer {self._router.endpoint_credential}".encode()
-        told = call.header("authorization").encode("latin1")
-        if not hmac.compare_digest(want, told):
+        expected = f"Bearer {self._router.endpoint_credential}".encode()
+        received = call.header("authorization").encode("latin1")
+        if not hmac.compare_digest(expected, received):
             self._router.count("credential.refused")
             raise RefusedError(
                 RefusalReason.BAD_CREDENTIAL, "the endpoint credential is wrong"
@@ -288,8 +288,8 @@
         raise ValueError(f"a name is longer than {MAX_NAME_CHARS} characters")
     if not (endpoint.id and endpoint.incarnation and endpoint.serves):
         raise ValueError("id, incarnation and serves must not be empty")
-    if len(endpoint.serves) > MAX_SERVED:
-        raise ValueError(f"serves has more than {MAX_SERVED} names")
+    if len(endpoint.serves) > MAX_SERVED_NAMES:
+        raise ValueError(f"serves has more than {MAX_SERVED_NAMES} names")
     if endpoint.slots < 1 or endpoint.cache_blocks < 0:
         raise ValueError("slots or cache_blocks is out of range")
     scheme, _, rest = endpoint.url.partition("://")
@@ -301,10 +301,10 @@
     socket.inet_pton(family, host.strip("[]"))
 
 
-def tune_listener(listener: socket.socket) -> None:
+def configure_listener(listener: socket.socket) -> None:
     """Sets the options that accepted connections inherit."""
     listener.setsockopt(
-        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
     )
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
--- a/knapweedarch/http_server.py
+++ b/knapweedarch/http_server.py
@@ -51,7 +51,7 @@
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listener = socket.socket(family, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        gateway.tune_listener(listener)
+        gateway.configure_listener(listener)
         listener.bind((host, port))
         listener.setblocking(False)
         return listener
--- a/knapweedarch/router.py
+++ b/knapweedarch/router.py
@@ -39,8 +39,8 @@
 from knapweedarch.state import Announce
 from knapweedarch.timers import Clock, Timers, run_steps
 
-ROLLOUT_S = 0.5
-REPORT_S = 1.0
+ROLLOUT_INTERVAL_S = 0.5
+REPORT_INTERVAL_S = 1.0
 ANNOUNCE_TIMEOUT_S = 3.0
 
 
@@ -102,8 +102,8 @@
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
         """Serves until SIGTERM or SIGINT, then drains and returns."""
         self._keeper.subscribe(self._timers)
-        self._timers.every(ROLLOUT_S, self._roll_out)
-        self._timers.every(REPORT_S, self._report)
+        self._timers.every(ROLLOUT_INTERVAL_S, self._roll_out)
+        self._timers.every(REPORT_INTERVAL_S, self._report)
         async with anyio.create_task_group() as group, self._control:
             self._group = group
             self._endpoints.start(group)
@@ -116,9 +116,9 @@
 
     def ready(self) -> bool:
         """Tells the balancer whether to send callers here."""
-        return not self._server.draining and self.may_start() is None
+        return not self._server.draining and self.start_refusal() is None
 
-    def may_start(self) -> RefusalReason | None:
+    def start_refusal(self) -> RefusalReason | None:
         """Returns why no new work may start now, or None if it may."""
         # The lease comes first: requests accepted before a planned stop are
         # still sent, but never without a lease.
@@ -214,10 +214,10 @@
     settings: RouterSettings, distances_ms: dict[str, float]
 ) -> scheduler.SchedulerConfig:
     fill = {
-        Priority[name.upper()]: part
-        for name, part in settings.class_fill.items()
+        Priority[name.upper()]: share
+        for name, share in settings.class_fill.items()
     }
-    usual = admission.AdmissionConfig()
+    defaults = admission.AdmissionConfig()
     return scheduler.SchedulerConfig(
         placement_cfg=placement.PlacementConfig(
             distance_s={dc: ms / 1000 for dc, ms in distances_ms.items()},
@@ -225,8 +225,8 @@
             service_s=settings.request_s,
         ),
         admission_cfg=attrs.evolve(
-            usual,
-            fill={**usual.fill, **fill},
+            defaults,
+            fill={**defaults.fill, **fill},
             queue_limit=settings.queue_limit,
         ),
     )
--- a/knapweedarch/services.py
+++ b/knapweedarch/services.py
@@ -16,7 +16,7 @@
 import attrs
 
 from knapweedarch.adapters import ServiceAnswer
-from knapweedarch.background import Background
+from knapweedarch.background import BackgroundTasks
 from knapweedarch.callers import JSON_TYPE, Call, RefusedError, send_refusal
 from knapweedarch.exceptions import ControlError, EndpointError
 from knapweedarch.exchanges import SendRefusedError
@@ -70,7 +70,7 @@
 class ServiceHandler:
     """Handles `/services/{service}/...`."""
 
-    def __init__(self, router: "RouterPort", background: Background):
+    def __init__(self, router: "RouterPort", background: BackgroundTasks):
         self._router = router
         self._background = background
         self._running = 0
@@ -93,7 +93,7 @@
         try:
             if service_call.key:
                 # It must be settled even if the server ends its handlers.
-                answer = await self._background.complete(
+                answer = await self._background.run_to_completion(
                     self._run_at_most_once, service_call
                 )
             else:
@@ -109,7 +109,10 @@
         )
 
     def _check_admission(self, service_call: ServiceCall) -> None:
-        reason, message = self._router.may_start(), "no new work starts here"
+        reason, message = (
+            self._router.start_refusal(),
+            "no new work starts here",
+        )
         if reason is None and self._running >= MAX_RUNNING_CALLS:
             reason = RefusalReason.QUEUE_FULL
             message = f"{MAX_RUNNING_CALLS} calls are running"
@@ -215,7 +218,7 @@
                     endpoint,
                     service_call,
                     time_share * self._remaining_s(service_call),
-                    functools.partial(send_refusal, self._router.may_start),
+                    functools.partial(send_refusal, self._router.start_refusal),
                 )
                 return _check_size(answer)
             except SendRefusedError as exc:
@@ -310,7 +313,7 @@
         In a lapse the leader may have recorded the call as unknown, after
         which it must not be sent.
         """
-        reason = send_refusal(self._router.may_start)
+        reason = send_refusal(self._router.start_refusal)
         if reason is None and self._router.lease_epoch() != epoch:
             return RefusalReason.LEASE_EXPIRED
         return reason
--- a/standins/fake_router.py
+++ b/standins/fake_router.py
@@ -60,8 +60,8 @@
     """Implements `gateway.RouterPort` over the real state machine.
 
     Attributes:
-        refusal: What `may_start` returns.
-        refuse_after_checks: Checks that pass before `may_start` refuses;
+        refusal: What `start_refusal` returns.
+        refuse_after_checks: Checks that pass before `start_refusal` refuses;
             negative means that all pass.
         later_refusal: What it returns after these checks.
         lapses: Lapses of the lease so far.
@@ -107,7 +107,7 @@
         same = digest(api_key) == self.customer.key_digest
         return self.customer if same else None
 
-    def may_start(self) -> RefusalReason | None:
+    def start_refusal(self) -> RefusalReason | None:
         """Refuses as told, at once or after some checks."""
         if self.refuse_after_checks == 0:
             return self.later_refusal
