--- a/knapweedarch/callers.py
+++ b/knapweedarch/callers.py
@@ -198,11 +198,11 @@
         self.reserved_bytes = 0
 
     async def _discard_and_refuse(self, limit: int) -> None:
-        discarded, more = 0, True
+        discarded_bytes, more = 0, True
         with anyio.move_on_after(DISCARD_TIMEOUT_S):
-            while more and discarded < MAX_DISCARD_BYTES:
+            while more and discarded_bytes < MAX_DISCARD_BYTES:
                 message = await self.receive()
-                discarded += len(message.get("body", b""))
+                discarded_bytes += len(message.get("body", b""))
                 more = bool(message.get("more_body"))
         raise RefusedError(
             RefusalReason.BODY_TOO_LARGE,
@@ -232,7 +232,7 @@
         """Sends the last part of the body."""
         await self._send({"type": "http.response.body", "body": data})
 
-    async def answer(
+    async def send_response(
         self,
         code: int,
         data: bytes,
@@ -245,16 +245,18 @@
         await self.start(code, head)
         await self.finish(data)
 
-    async def answer_json(self, code: int, body: object) -> None:
+    async def send_json(self, code: int, body: object) -> None:
         """Sends a whole answer in JSON."""
-        await self.answer(code, json.dumps(body).encode())
+        await self.send_response(code, json.dumps(body).encode())
 
-    async def refuse(self, refused: RefusedError) -> None:
+    async def send_error(self, refused: RefusedError) -> None:
         """Sends an error answer; must be the first thing sent."""
         fields = {}
         if refused.code in (429, 503):
             fields["retry-after"] = str(max(1, round(refused.retry_after_s)))
-        await self.answer(refused.code, refused.body(), JSON_TYPE, fields)
+        await self.send_response(
+            refused.code, refused.body(), JSON_TYPE, fields
+        )
 
     async def _send(self, message: Message) -> None:
         with anyio.move_on_after(WRITE_TIMEOUT_S) as scope:
--- a/knapweedarch/gateway.py
+++ b/knapweedarch/gateway.py
@@ -179,10 +179,10 @@
     async def _handle(self, call: Call) -> None:
         match call.method, call.path:
             case "GET", "/live":
-                await call.answer_json(200, {"live": True})
+                await call.send_json(200, {"live": True})
             case "GET", "/ready":
                 ready = self._router.ready()
-                await call.answer_json(200 if ready else 503, {"ready": ready})
+                await call.send_json(200 if ready else 503, {"ready": ready})
             case "POST", "/v1/endpoints":
                 await self._announce(call)
             case "GET", "/v1/models":
@@ -217,7 +217,7 @@
     async def _refuse(self, call: Call, refused: RefusedError) -> None:
         self._record_refusal(refused.reason, refused.message)
         if not call.started:
-            await call.refuse(refused)
+            await call.send_error(refused)
 
     def _record_refusal(self, reason: RefusalReason, message: str) -> None:
         self._router.count(f"refused.{reason.value}")
@@ -233,7 +233,7 @@
             if not customer.models or rule.name in customer.models
         ]
         data = [{"id": name, "object": "model"} for name in names]
-        await call.answer_json(200, {"object": "list", "data": data})
+        await call.send_json(200, {"object": "list", "data": data})
 
     async def _announce(self, call: Call) -> None:
         expected = f"Bearer {self._router.endpoint_credential}".encode()
@@ -258,7 +258,7 @@
             raise RefusedError(
                 RefusalReason.TOO_MANY_RECORDS, "the endpoint table is full"
             )
-        await call.answer_json(200, {"accepted": endpoint.id})
+        await call.send_json(200, {"accepted": endpoint.id})
 
 
 def parse_endpoint(body: bytes) -> Endpoint:
--- a/knapweedarch/http_server.py
+++ b/knapweedarch/http_server.py
@@ -109,7 +109,7 @@
     async def _refuse_full(self, scope, receive, send) -> None:
         """Refuses before any byte of the body is read."""
         self._metrics.count(f"refused.{RefusalReason.QUEUE_FULL.value}")
-        await create_call(scope, receive, send).refuse(
+        await create_call(scope, receive, send).send_error(
             RefusedError(
                 RefusalReason.QUEUE_FULL, "too many requests are in progress"
             )
--- a/knapweedarch/services.py
+++ b/knapweedarch/services.py
@@ -101,7 +101,7 @@
         finally:
             self._running -= 1
         self._router.count("requests.finished")
-        await call.answer(
+        await call.send_response(
             answer.code,
             answer.body,
             answer.content_type,
--- a/knapweedarch/sinks.py
+++ b/knapweedarch/sinks.py
@@ -49,7 +49,7 @@
     async def fail(self, refused: RefusedError) -> None:
         """Sends an error event without the end mark."""
         if not self.call.started:
-            return await self.call.refuse(refused)
+            return await self.call.send_error(refused)
         await self.call.finish(b"data: " + refused.body() + b"\n\n")
 
     async def _start(self) -> None:
@@ -104,7 +104,7 @@
             ],
             "usage": finish.usage,
         }
-        await self.call.answer(
+        await self.call.send_response(
             200,
             json.dumps(body).encode(),
             fields={"x-request-id": self.request_id},
@@ -112,4 +112,4 @@
 
     async def fail(self, refused: RefusedError) -> None:
         """Sends an error answer."""
-        await self.call.refuse(refused)
+        await self.call.send_error(refused)
