--- a/features/request_harness.py
+++ b/features/request_harness.py
@@ -17,9 +17,9 @@
 from standins.fake_router import AUTHORIZATION, FakeRouter, endpoint_of
 
 # Longest time of one scenario; a hang then fails instead of blocking the run.
-SCENARIO_S = 20.0
-GRACEFUL_S = 0.2
-STOP_S = 2.0
+SCENARIO_TIMEOUT_S = 20.0
+GRACEFUL_TIMEOUT_S = 0.2
+STOP_TIMEOUT_S = 2.0
 
 
 @attrs.define
@@ -41,8 +41,8 @@
     body: bytes = attrs.field(default=b"", repr=False)
 
 
-class Site:
-    """Servers on loopback and a client; create it with `open_site`."""
+class GatewayHarness:
+    """Servers on loopback and a client; create it with `open_harness`."""
 
     def __init__(self, group, client: httpx.AsyncClient):
         self.group = group
@@ -63,7 +63,7 @@
         self._stops.append(stop)
         url = serving.base_url(listener)
         self.group.start_soon(
-            serving.serve_app, app, listener, stop, GRACEFUL_S
+            serving.serve_app, app, listener, stop, GRACEFUL_TIMEOUT_S
         )
         return url
 
@@ -132,7 +132,7 @@
         return read_whole(reply)
 
     async def stop_router(self, number: int) -> None:
-        """Stops a router's server; running requests get `GRACEFUL_S`."""
+        """Stops a router's server; running requests get `GRACEFUL_TIMEOUT_S`."""
         self._stops[number].set()
 
     async def close(self) -> None:
@@ -147,23 +147,25 @@
 
 
 @contextlib.asynccontextmanager
-async def open_site() -> AsyncIterator[Site]:
+async def open_harness() -> AsyncIterator[GatewayHarness]:
     """Opens a site and closes it with all of its connections."""
     error = None
-    with anyio.fail_after(SCENARIO_S):
+    with anyio.fail_after(SCENARIO_TIMEOUT_S):
         async with anyio.create_task_group() as group:
             client = httpx.AsyncClient(trust_env=False, timeout=15)
-            site = Site(group, client)
+            harness = GatewayHarness(group, client)
             try:
-                yield site
+                yield harness
             except Exception as exc:
                 # Raised below: the group would cancel the servers, and
                 # hypercorn hides the error behind one of its own then.
                 error = exc
             finally:
                 with anyio.CancelScope(shield=True):
-                    await site.close()
-                group.cancel_scope.deadline = anyio.current_time() + STOP_S
+                    await harness.close()
+                group.cancel_scope.deadline = (
+                    anyio.current_time() + STOP_TIMEOUT_S
+                )
     if error is not None:
         raise error
 
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -16,7 +16,7 @@
     MESSAGES,
     Answer,
     chat_body,
-    open_site,
+    open_harness,
     read_whole,
     refused_port,
 )
@@ -40,42 +40,42 @@
 from standins.runner import Runner, RunnerConfig
 
 # Longest time of one step; a hang then fails.
-STEP_S = 12.0
-POLL_S = 0.005
+STEP_TIMEOUT_S = 12.0
+POLL_INTERVAL_S = 0.005
 
 
-def call(context, function, *arguments):
+def run_async(context, function, *arguments):
     """Runs an async function in the scenario's event loop."""
 
     async def bounded():
-        with anyio.fail_after(STEP_S):
+        with anyio.fail_after(STEP_TIMEOUT_S):
             return await function(*arguments)
 
     return context.portal.call(bounded)
 
 
-def wait_for(probe) -> None:
+def wait_until(condition) -> None:
     """Waits until a probe of the servers' state is true."""
-    until = time.monotonic() + STEP_S
-    while not probe():
-        assert time.monotonic() < until, "the awaited state did not come"
-        time.sleep(POLL_S)
+    deadline = time.monotonic() + STEP_TIMEOUT_S
+    while not condition():
+        assert time.monotonic() < deadline, "the awaited state did not come"
+        time.sleep(POLL_INTERVAL_S)
 
 
-def counter(context, name: str) -> int:
-    return sum(router.counts[name] for router in context.site.routers)
+def total_count(context, name: str) -> int:
+    return sum(router.counts[name] for router in context.harness.routers)
 
 
 @given("{count:d} routers")
-def routers(context, count):
+def start_routers(context, count):
     portal = anyio.from_thread.start_blocking_portal()
     context.portal = portal.__enter__()
     context.add_cleanup(portal.__exit__, None, None, None)
-    site = context.portal.wrap_async_context_manager(open_site())
-    context.site = site.__enter__()
-    context.add_cleanup(site.__exit__, None, None, None)
+    harness = context.portal.wrap_async_context_manager(open_harness())
+    context.harness = harness.__enter__()
+    context.add_cleanup(harness.__exit__, None, None, None)
     for number in range(1, count + 1):
-        call(context, context.site.add_router, f"router-{number}")
+        run_async(context, context.harness.add_router, f"router-{number}")
     context.runners, context.desks, context.answers = {}, {}, []
 
 
@@ -83,42 +83,42 @@
     options = {"token_ms": 1.0, **options}
     runner = Runner(RunnerConfig(name, credential=CREDENTIAL, **options))
     context.runners[name] = runner
-    call(context, context.site.add_runner, runner)
+    run_async(context, context.harness.add_runner, runner)
     return runner
 
 
 @given('a runner "{name:w}"')
-def plain_runner(context, name):
+def add_plain_runner(context, name):
     add_runner(context, name)
 
 
 @given('a runner "{name:w}" that shows "{fault:w}" at token {at:d}')
-def faulty_runner(context, name, fault, at):
+def add_faulty_runner(context, name, fault, at):
     add_runner(context, name).faults.add(Fault(fault, at))
 
 
 @given('a runner "{name:w}" with weights "{version}"')
-def runner_with_weights(context, name, version):
+def add_runner_with_weights(context, name, version):
     add_runner(context, name, version=version)
 
 
 @given('a runner "{name:w}" that answers at once')
-def fast_runner(context, name):
+def add_fast_runner(context, name):
     add_runner(context, name, token_ms=0.0)
 
 
 @given('a runner "{name:w}" that takes {ms:d} ms per token')
-def paced_runner(context, name, ms):
+def add_paced_runner(context, name, ms):
     add_runner(context, name, token_ms=float(ms))
 
 
 @given('a runner "{name:w}" that checks fencing numbers')
-def fenced_runner(context, name):
+def add_fencing_runner(context, name):
     add_runner(context, name, checks_fencing=True)
 
 
 def add_endpoint(context, endpoint: Endpoint) -> None:
-    for router in context.site.routers:
+    for router in context.harness.routers:
         if endpoint.kind is EndpointKind.RUNNER:
             router.runners.append(endpoint)
         else:
@@ -126,94 +126,94 @@
 
 
 @given("a {kind} on a port that refuses connections")
-def refused(context, kind):
+def add_refusing_endpoint(context, kind):
     kind = {"runner": EndpointKind.RUNNER, "desk": EndpointKind.SERVICE}[kind]
     add_endpoint(context, raw_endpoint(refused_port(), kind))
 
 
 @given('a {kind} on a raw server that shows "{mode}"')
-def raw(context, kind, mode):
+def add_raw_endpoint(context, kind, mode):
     kind = {"runner": EndpointKind.RUNNER, "desk": EndpointKind.SERVICE}[kind]
     context.raw = RawServer(mode)
-    url = call(context, context.site.add_raw_server, context.raw.handle)
+    url = run_async(context, context.harness.add_raw_server, context.raw.handle)
     add_endpoint(context, raw_endpoint(url, kind))
 
 
 @given('a desk "{name:w}"')
 @when('a desk "{name:w}" starts')
-def plain_desk(context, name):
+def add_plain_desk(context, name):
     desk = context.desks[name] = Desk(name, credential=CREDENTIAL)
-    call(context, context.site.add_desk, desk)
+    run_async(context, context.harness.add_desk, desk)
 
 
 @given('a desk "{name:w}" that shows "{fault:w}" at {at:g}')
-def faulty_desk(context, name, fault, at):
-    plain_desk(context, name)
+def add_faulty_desk(context, name, fault, at):
+    add_plain_desk(context, name)
     context.desks[name].faults.add(Fault(fault, at))
 
 
 @given("callers may take no data for {limit:g} s")
-def slow_limit(context, limit):
-    before, chats.WRITE_TIMEOUT_S = chats.WRITE_TIMEOUT_S, limit
-    context.add_cleanup(setattr, chats, "WRITE_TIMEOUT_S", before)
+def set_write_timeout(context, limit):
+    previous, chats.WRITE_TIMEOUT_S = chats.WRITE_TIMEOUT_S, limit
+    context.add_cleanup(setattr, chats, "WRITE_TIMEOUT_S", previous)
 
 
 @given("the lease expires after {checks:d} check")
-def lease_expires(context, checks):
-    context.site.routers[0].refuse_after_checks = checks
+def expire_lease_after_checks(context, checks):
+    context.harness.routers[0].refuse_after_checks = checks
 
 
 @given("the router stops after {checks:d} check")
-def router_stops(context, checks):
-    router = context.site.routers[0]
+def stop_router_after_checks(context, checks):
+    router = context.harness.routers[0]
     router.refuse_after_checks = checks
     router.later_refusal = RefusalReason.STOPPING
 
 
 @when("the lease of router {number:d} has expired")
-def lease_expired(context, number):
-    router = context.site.routers[number - 1]
+def expire_lease(context, number):
+    router = context.harness.routers[number - 1]
     router.refusal = RefusalReason.LEASE_EXPIRED
 
 
 @given("the lease of router {number:d} lapses while a call is reserved")
-def lease_lapses(context, number):
-    context.site.routers[number - 1].lapses_at_check = 1
+def lapse_lease_at_check(context, number):
+    context.harness.routers[number - 1].lapses_at_check = 1
 
 
 @given("commands arrive {times}")
-def commands(context, times):
-    for router in context.site.routers:
+def set_command_deliveries(context, times):
+    for router in context.harness.routers:
         router.submits_twice = times == "twice"
 
 
 @given('the next {count:d} "{command}" fail')
-def failing(context, count, command):
-    context.site.routers[0].failing[command] = count
+def fail_commands(context, count, command):
+    context.harness.routers[0].failing[command] = count
 
 
 @given('another router has reserved key "{key:w}"')
-def reserved_elsewhere(context, key):
+def reserve_key_elsewhere(context, key):
     # The digest is that of the deposit that the scenario sends.
     head = b"POST\0/deposits\0{}"
     name = record_key("counter", "booking", key)
     reserve = Reserve(name, sha256(head).digest(), "router-9/1", 0.0)
-    call(context, context.site.routers[0].submit, reserve, 1.0)
+    run_async(context, context.harness.routers[0].submit, reserve, 1.0)
 
 
 @when("a caller asks for {kind} of {tokens:d} tokens")
-def ask(context, kind, tokens):
+def send_chat(context, kind, tokens):
     async def run() -> Answer:
-        return await context.site.chat(
+        return await context.harness.chat(
             stream=kind == "a stream", max_tokens=tokens
         )
 
-    context.answers.append(call(context, run))
+    context.answers.append(run_async(context, run))
 
 
 async def send_raw(context, path: str, body: bytes):
     """Sends a request on a bare connection; returns the connection."""
-    host, _, port = context.site.urls[0][7:].partition(":")
+    host, _, port = context.harness.urls[0][7:].partition(":")
     stream = await anyio.connect_tcp(host, int(port))
     await stream.send(
         b"POST %b HTTP/1.1\r\nhost: x\r\nauthorization: %b\r\n"
@@ -229,28 +229,28 @@
 
 
 @when("a caller asks for {tokens:d} tokens and reads none of them")
-def ask_and_stall(context, tokens):
+def send_chat_without_reading(context, tokens):
     body = json.dumps(chat_body(max_tokens=tokens)).encode()
-    stream = call(context, send_raw, context, "/v1/chat/completions", body)
+    stream = run_async(context, send_raw, context, "/v1/chat/completions", body)
     context.add_cleanup(context.portal.call, stream.aclose)
 
 
 @given("routers that hold at most {size:d} bytes of bodies")
-def body_budget(context, size):
-    for gateway in context.site.gateways:
+def set_body_budget(context, size):
+    for gateway in context.harness.gateways:
         gateway.budget.limit = size
 
 
 @given('runners "a", "b" and "c"')
-def three_runners(context):
+def add_three_runners(context):
     for name in ("a", "b", "c"):
         add_runner(context, name, slots=100)
-    router = context.site.routers[0]
+    router = context.harness.routers[0]
     router.rotate, router.retries_left = True, 1000
 
 
 @when("{callers:d} callers stream side by side with faults of seed {seed:d}")
-def random_faults(context, callers, seed):
+def stream_with_random_faults(context, callers, seed):
     rng = random.Random(seed)
     modes = ("break", "gap", "repeat", "no_done", "crossed", "error", "refuse")
     for runner in context.runners.values():
@@ -258,18 +258,18 @@
             mode = rng.choice(modes) if rng.random() < 0.6 else "none"
             runner.faults.add(Fault(mode, rng.randrange(30)))
 
-    async def one(number: int) -> None:
+    async def send_one(number: int) -> None:
         messages = [{"role": "user", "content": f"question {number}"}]
-        answer = await context.site.chat(messages=messages, max_tokens=30)
+        answer = await context.harness.chat(messages=messages, max_tokens=30)
         whole = texts.text(messages, "w1", 0, 30)
         context.answers.append((answer, whole))
 
     async def run() -> None:
         async with anyio.create_task_group() as group:
             for number in range(callers):
-                group.start_soon(one, number)
+                group.start_soon(send_one, number)
 
-    call(context, run)
+    run_async(context, run)
 
 
 @then("every stream is whole or ends in an explicit error")
@@ -282,30 +282,30 @@
 
 
 @then("at least {count:d} streams are whole")
-def count_whole(context, count):
+def check_whole_streams(context, count):
     assert sum(answer.done for answer, _ in context.answers) >= count
 
 
 @then("the raw server got at most {count:d} requests")
-def raw_requests(context, count):
+def check_raw_requests(context, count):
     assert context.raw.requests <= count, context.raw.requests
 
 
 @when("{others:d} callers ask together for a stream of {tokens:d} tokens")
-def ask_together(context, others, tokens):
-    async def one() -> None:
-        context.answers.append(await context.site.chat(max_tokens=tokens))
+def send_concurrent_chats(context, others, tokens):
+    async def send_one() -> None:
+        context.answers.append(await context.harness.chat(max_tokens=tokens))
 
     async def run() -> None:
         async with anyio.create_task_group() as group:
             for _ in range(others):
-                group.start_soon(one)
+                group.start_soon(send_one)
 
-    call(context, run)
+    run_async(context, run)
 
 
 @then('at least {count:d} answers are "{reason}" with outcome "{outcome}"')
-def some_refused(context, count, reason, outcome):
+def check_refused_answers(context, count, reason, outcome):
     refused = [answer for answer in context.answers if answer.code != 200]
     assert len(refused) >= count, context.answers
     for answer in refused:
@@ -313,17 +313,17 @@
 
 
 @then("the other answers are whole")
-def others_whole(context):
+def check_other_answers(context):
     whole = [answer for answer in context.answers if answer.code == 200]
     assert whole and all(a.done for a in whole), context.answers
 
 
 @when("a caller leaves after {read:d} tokens of {tokens:d}")
-def leave(context, read, tokens):
+def disconnect_after_tokens(context, read, tokens):
     async def run() -> None:
-        async with context.site.client.stream(
+        async with context.harness.client.stream(
             "POST",
-            f"{context.site.urls[0]}/v1/chat/completions",
+            f"{context.harness.urls[0]}/v1/chat/completions",
             json=chat_body(max_tokens=tokens),
             headers=AUTHORIZATION,
         ) as reply:
@@ -333,73 +333,73 @@
                 if seen >= read:
                     return
 
-    call(context, run)
+    run_async(context, run)
 
 
-def deposit(context, key: str, number: int, body: bytes = b"{}") -> None:
-    answer = call(
-        context, context.site.call, "booking/deposits", key, body, number - 1
+def send_deposit(context, key: str, number: int, body: bytes = b"{}") -> None:
+    answer = run_async(
+        context, context.harness.call, "booking/deposits", key, body, number - 1
     )
     context.answers.append(answer)
 
 
 @when('the caller deposits with key "{key:w}" through router {number:d}')
-def deposit_through(context, key, number):
-    deposit(context, key, number)
+def send_deposit_through_router(context, key, number):
+    send_deposit(context, key, number)
 
 
 @when('the caller deposits another body with key "{key:w}"')
-def deposit_other(context, key):
-    deposit(context, key, 1, b'{"amount": 2}')
+def send_other_deposit(context, key):
+    send_deposit(context, key, 1, b'{"amount": 2}')
 
 
 @when('{count:d} deposits with key "{key:w}" go through both routers at once')
-def deposit_many(context, count, key):
-    async def one(number: int) -> None:
-        site = context.site
-        answer = await site.call("booking/deposits", key, router=number % 2)
+def send_concurrent_deposits(context, count, key):
+    async def send_one(number: int) -> None:
+        harness = context.harness
+        answer = await harness.call("booking/deposits", key, router=number % 2)
         context.answers.append(answer)
 
     async def run() -> None:
         async with anyio.create_task_group() as group:
             for number in range(count):
-                group.start_soon(one, number)
+                group.start_soon(send_one, number)
 
-    call(context, run)
+    run_async(context, run)
 
 
 @when('the caller leaves while its deposit with key "{key:w}" runs')
-def deposit_and_leave(context, key):
+def disconnect_during_deposit(context, key):
     running = context.portal.start_task_soon(
-        context.site.call, "booking/deposits", key
+        context.harness.call, "booking/deposits", key
     )
-    wait_for(lambda: any(d.runs[key] for d in context.desks.values()))
+    wait_until(lambda: any(d.runs[key] for d in context.desks.values()))
     running.cancel()
 
 
 @when('router 1 stops while its deposit with key "{key:w}" runs')
-def deposit_and_stop(context, key):
+def stop_router_during_deposit(context, key):
     async def cut_off() -> None:
         with contextlib.suppress(httpx.HTTPError):
-            await context.site.call("booking/deposits", key)
+            await context.harness.call("booking/deposits", key)
 
     running = context.portal.start_task_soon(cut_off)
-    wait_for(lambda: any(d.runs[key] for d in context.desks.values()))
-    call(context, context.site.stop_router, 0)
-    running.result(STEP_S)
+    wait_until(lambda: any(d.runs[key] for d in context.desks.values()))
+    run_async(context, context.harness.stop_router, 0)
+    running.result(STEP_TIMEOUT_S)
 
 
 @when("the caller checks availability {times:d} times")
-def availability(context, times):
-    async def one() -> Answer:
-        return await context.site.call("booking/availability", method="GET")
+def check_availability(context, times):
+    async def send_one() -> Answer:
+        return await context.harness.call("booking/availability", method="GET")
 
     for _ in range(times):
-        context.answers.append(call(context, one))
+        context.answers.append(run_async(context, send_one))
 
 
 @when('a caller posts to "{path}" without a key')
-def post_path(context, path):
+def post_without_key(context, path):
     async def run() -> Answer:
         # httpx would resolve the dots before sending.
         stream = await send_raw(context, path, b"{}")
@@ -410,7 +410,7 @@
         head, _, body = data.partition(b"\r\n\r\n")
         return read_whole(httpx.Response(int(head[9:12]), content=body))
 
-    context.answers.append(call(context, run))
+    context.answers.append(run_async(context, run))
 
 
 async def chunked_parts(size: int):
@@ -418,7 +418,7 @@
         yield b"x" * 1024
 
 
-OVER_BODY = 300 * 1024
+OVERSIZED_BODY_BYTES = 300 * 1024
 BAD_CHATS = {
     "an unknown model": chat_body(model="other"),
     "no messages": chat_body(messages=[]),
@@ -429,7 +429,7 @@
     "no API key": b"{}",
     "a body that is no JSON": b"{",
     "a deeply nested body": b"[" * 100_000,
-    "a body over the bound": b"x" * OVER_BODY,
+    "a body over the bound": b"x" * OVERSIZED_BODY_BYTES,
 }
 BAD_HEADERS = {
     "no API key": {"authorization": "Bearer wrong"},
@@ -446,38 +446,39 @@
 
 
 @when("a caller adds a header of {size:d} bytes")
-def send_header(context, size):
+def send_long_header(context, size):
     async def run() -> Answer:
-        reply = await context.site.client.get(
-            f"{context.site.urls[0]}/v1/models", headers={"x-long": "x" * size}
+        reply = await context.harness.client.get(
+            f"{context.harness.urls[0]}/v1/models",
+            headers={"x-long": "x" * size},
         )
         return read_whole(reply)
 
-    context.answers.append(call(context, run))
+    context.answers.append(run_async(context, run))
 
 
 @when("a caller sends {what}")
-def send_bad(context, what):
+def send_invalid_request(context, what):
     content = BAD_CONTENTS.get(what)
     if content is None:
         content = json.dumps(BAD_CHATS.get(what, chat_body())).encode()
     if what == "a chunked body over it":
-        content = chunked_parts(OVER_BODY)
+        content = chunked_parts(OVERSIZED_BODY_BYTES)
     path = BAD_PATHS.get(what, "/v1/chat/completions")
     headers = {**AUTHORIZATION, **BAD_HEADERS.get(what, {})}
-    assert context.site.routers[0].customer.priority is Priority.INTERACTIVE
+    assert context.harness.routers[0].customer.priority is Priority.INTERACTIVE
 
     async def run() -> Answer:
-        reply = await context.site.client.post(
-            context.site.urls[0] + path, content=content, headers=headers
+        reply = await context.harness.client.post(
+            context.harness.urls[0] + path, content=content, headers=headers
         )
         return read_whole(reply)
 
-    context.answers.append(call(context, run))
+    context.answers.append(run_async(context, run))
 
 
 @when("an endpoint announces {what}")
-def announce(context, what):
+def announce_endpoint(context, what):
     runner = Runner(RunnerConfig("new", credential=CREDENTIAL))
     runner.url = "http://127.0.0.1:4000"
     body, credential = dict(runner.describe()), CREDENTIAL
@@ -490,23 +491,23 @@
             body["incarnation"] = ""
 
     async def run() -> Answer:
-        reply = await context.site.client.post(
-            f"{context.site.urls[0]}/v1/endpoints",
+        reply = await context.harness.client.post(
+            f"{context.harness.urls[0]}/v1/endpoints",
             json=body,
             headers={"authorization": f"Bearer {credential}"},
         )
         return read_whole(reply)
 
-    context.answers.append(call(context, run))
-    announced = context.site.routers[0].announced
+    context.answers.append(run_async(context, run))
+    announced = context.harness.routers[0].announced
     accepted = context.answers[-1].code == 200
     assert announced == ([endpoint_of(runner)] if accepted else [])
 
 
-def follow(context, endpoint: Endpoint, on_item) -> None:
+def collect_feed(context, endpoint: Endpoint, on_item) -> None:
     async def run() -> None:
         context.items, context.feed_error = [], None
-        router = context.site.routers[0]
+        router = context.harness.routers[0]
         try:
             async for item in router.adapter.follow_feed(endpoint):
                 context.items.append(item)
@@ -514,11 +515,11 @@
         except EndpointError as exc:
             context.feed_error = exc.reason
 
-    call(context, run)
+    run_async(context, run)
 
 
 @when('router 1 follows the feed of runner "{name:w}", which loses an event')
-def follow_with_loss(context, name):
+def collect_feed_with_loss(context, name):
     runner = context.runners[name]
     feed = runner._feed
 
@@ -530,13 +531,13 @@
             feed.number += 1
             feed.publish("stored", (2,))
 
-    follow(context, context.site.routers[0].runners[0], publish)
+    collect_feed(context, context.harness.routers[0].runners[0], publish)
 
 
 @when("router 1 follows the feed of the raw server")
-def follow_raw(context):
-    endpoint = context.site.routers[0].runners[0]
-    follow(context, endpoint, lambda item: None)
+def collect_raw_feed(context):
+    endpoint = context.harness.routers[0].runners[0]
+    collect_feed(context, endpoint, lambda item: None)
 
 
 @then('the feed ended with "{reason}" after events {numbers}')
@@ -556,8 +557,8 @@
 @when(
     'router {number:d} orders weights "{version}" with fencing number {fence:d}'
 )
-def order(context, number, version, fence):
-    router = context.site.routers[number - 1]
+def send_weights_order(context, number, version, fence):
+    router = context.harness.routers[number - 1]
 
     async def run() -> None:
         try:
@@ -567,7 +568,7 @@
         except EndpointError as exc:
             assert exc.reason == "endpoint_refused", exc.reason
 
-    call(context, run)
+    run_async(context, run)
 
 
 @then('runner "{name:w}" has weights "{version}"')
@@ -592,8 +593,8 @@
 
 @then('attempts failed once with "{reason}"')
 def failed_once(context, reason):
-    assert counter(context, f"retried.{reason}") == 1, [
-        router.counts for router in context.site.routers
+    assert total_count(context, f"retried.{reason}") == 1, [
+        router.counts for router in context.harness.routers
     ]
 
 
@@ -655,13 +656,13 @@
     " the router"
 )
 def raw_some_closed(context, count, closed):
-    wait_for(lambda: context.raw.closed == closed)
+    wait_until(lambda: context.raw.closed == closed)
     assert context.raw.connections == count, context.raw
 
 
 @then("the raw server has {count:d} connections, closed by the router")
 def raw_closed(context, count):
-    wait_for(lambda: context.raw.closed == count)
+    wait_until(lambda: context.raw.closed == count)
     assert context.raw.connections == count, context.raw
 
 
@@ -684,8 +685,8 @@
 @then('runner "{name:w}" was told to cancel')
 def told_to_cancel(context, name):
     counts = context.runners[name].counts
-    wait_for(lambda: counts["cancel_orders"] == 1)
-    wait_for(lambda: context.runners[name].load("")["running"] == 0)
+    wait_until(lambda: counts["cancel_orders"] == 1)
+    wait_until(lambda: context.runners[name].load("")["running"] == 0)
 
 
 @then('runner "{name:w}" sent fewer than {count:d} tokens')
@@ -696,24 +697,24 @@
 
 @then('counter "{name}" is {value:d}')
 def counter_is(context, name, value):
-    wait_for(lambda: counter(context, name) == value)
+    wait_until(lambda: total_count(context, name) == value)
 
 
 @then("the scheduler was told of {count:d} cancelled attempt")
 def told_cancelled(context, count):
-    results = context.site.routers[0].scheduler.results
+    results = context.harness.routers[0].scheduler.results
     assert sum(result.cancelled for _, result in results) == count, results
 
 
 @then("one time to first token was measured")
 def first_token_measured(context):
-    timings = context.site.routers[0].timings["first_token"]
+    timings = context.harness.routers[0].timings["first_token"]
     assert len(timings) == 1 and timings[0] > 0, timings
 
 
 @then("the prompt tokens of {count:d} attempts were counted")
 def prompt_tokens_counted(context, count):
-    router = context.site.routers[0]
+    router = context.harness.routers[0]
     results = router.scheduler.results
     prompt = sum(attempt.ticket.prompt_tokens for attempt, _ in results)
     counts = router.counts
