--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -19,12 +19,12 @@
 MAX_ATTEMPTS = 4
 
 
-def token(offset: int) -> str:
+def token_text(offset: int) -> str:
     return f"t{offset} "
 
 
 def whole_text(tokens: int) -> str:
-    return "".join(token(offset) for offset in range(tokens))
+    return "".join(token_text(offset) for offset in range(tokens))
 
 
 @attrs.define
@@ -38,8 +38,8 @@
     resumed_at: list[int] = attrs.field(factory=list)
 
 
-def event(attempt_id: str, offset: int, tokens: int, **fields) -> dict:
-    text = "".join(token(o) for o in range(offset, offset + tokens))
+def token_event(attempt_id: str, offset: int, tokens: int, **fields) -> dict:
+    text = "".join(token_text(o) for o in range(offset, offset + tokens))
     choice = {"delta": {"content": text}, "finish_reason": None}
     return {
         "request_id": REQUEST_ID,
@@ -51,14 +51,14 @@
     }
 
 
-def clean_events(rng, attempt_id: str, start: int, end: int) -> list[dict]:
+def faultless_events(rng, attempt_id: str, start: int, end: int) -> list[dict]:
     """Builds the events of a faultless attempt, without the end mark."""
     events, offset = [], start
     while offset < end:
         tokens = min(rng.randint(1, 4), end - offset)
-        events.append(event(attempt_id, offset, tokens))
+        events.append(token_event(attempt_id, offset, tokens))
         offset += tokens
-    finish = event(attempt_id, end, 0, usage={"completion_tokens": end})
+    finish = token_event(attempt_id, end, 0, usage={"completion_tokens": end})
     finish["choices"] = [{"delta": {}, "finish_reason": "stop"}]
     return [*events, finish]
 
@@ -67,26 +67,28 @@
     """Applies a fault at a random place; `"DONE"` is the end mark."""
     items = [*events, "DONE"]
     last = len(events) - 1
-    place = rng.randrange(max(1, last))
+    index = rng.randrange(max(1, last))
     match fault:
         case "break":
-            return items[:place]
+            return items[:index]
         case "repeat":
-            return [*items[: place + 1], *items[place:]]
+            return [*items[: index + 1], *items[index:]]
         case "gap":
-            return items[:place] + items[place + 1 :]
+            return items[:index] + items[index + 1 :]
         case "swap" if last > 1:
-            place = min(place, last - 2)
-            pair = [items[place + 1], items[place]]
-            return items[:place] + pair + items[place + 2 :]
+            index = min(index, last - 2)
+            pair = [items[index + 1], items[index]]
+            return items[:index] + pair + items[index + 2 :]
         case "no_finish":
             return items[:last]
         case "no_done":
             return items[:-1]
         case "early_done":
-            return [*items[:place], "DONE"]
+            return [*items[:index], "DONE"]
         case "late_token":
-            late = event(events[0]["attempt_id"], events[last]["offset"], 1)
+            late = token_event(
+                events[0]["attempt_id"], events[last]["offset"], 1
+            )
             return [*items[:-1], late, "DONE"]
         case "wrong_usage":
             wrong = {"completion_tokens": events[last]["offset"] + 1}
@@ -95,13 +97,13 @@
             foreign = [
                 {"delta": {"content": "foreign "}, "finish_reason": None}
             ]
-            crossed = {**items[place], "choices": foreign}
+            crossed = {**items[index], "choices": foreign}
             crossed["attempt_id"] = "other/9"
-            return [*items[:place], crossed, *items[place + 1 :]]
+            return [*items[:index], crossed, *items[index + 1 :]]
         case "error":
-            return [*items[:place], {"error": {"reason": "engine"}}]
+            return [*items[:index], {"error": {"reason": "engine"}}]
         case "garbage":
-            return [*items[:place], "garbage", *items[place:]]
+            return [*items[:index], "garbage", *items[index:]]
     return items
 
 
@@ -118,11 +120,11 @@
     return b"".join(lines)
 
 
-def pieces(rng, data: bytes, most: int) -> list[bytes]:
+def split_randomly(rng, data: bytes, max_size: int) -> list[bytes]:
     """Splits bytes at random places."""
     found = []
     while data:
-        size = rng.randint(1, most)
+        size = rng.randint(1, max_size)
         found.append(data[:size])
         data = data[size:]
     return found
@@ -131,8 +133,8 @@
 def relay_attempt(rng, state: StreamState, caller: Caller, data: bytes):
     """Feeds one attempt's bytes; raises StreamFault as the router sees it."""
     decoder = SseDecoder()
-    for piece in pieces(rng, data, 400):
-        for item in decoder.feed(piece):
+    for data_part in split_randomly(rng, data, 400):
+        for item in decoder.feed(data_part):
             parsed = parse_event(item)
             if state.accept(parsed):
                 caller.text += parsed.text
@@ -141,8 +143,10 @@
     state.end()
 
 
-def relay(seed: int, tokens: int, faults: list[str], healthy: int) -> Caller:
-    """Relays up to `MAX_ATTEMPTS`; those from `healthy` on have no fault."""
+def relay_attempts(
+    seed: int, tokens: int, faults: list[str], first_faultless: int
+) -> Caller:
+    """Relays up to `MAX_ATTEMPTS`; those from `first_faultless` on have no fault."""
     rng = random.Random(seed)
     state, caller = StreamState(REQUEST_ID), Caller()
     for number in range(MAX_ATTEMPTS):
@@ -151,8 +155,8 @@
         caller.attempts += 1
         if state.started:
             caller.resumed_at.append(state.offset)
-        fault = rng.choice(faults) if number < healthy else ""
-        events = clean_events(rng, attempt_id, state.offset, tokens)
+        fault = rng.choice(faults) if number < first_faultless else ""
+        events = faultless_events(rng, attempt_id, state.offset, tokens)
         data = encode(faulty_events(rng, events, fault))
         try:
             relay_attempt(rng, state, caller, data)
@@ -170,10 +174,10 @@
 
 
 @when('each seed relays attempts with the faults "{faults}"')
-def relay_faults(context, faults):
+def relay_with_faults(context, faults):
     # The third attempt has no fault, so that a resume can be seen to work.
     context.callers = [
-        relay(seed, context.tokens, faults.split(","), 2)
+        relay_attempts(seed, context.tokens, faults.split(","), 2)
         for seed in context.seeds
     ]
 
@@ -181,14 +185,14 @@
 @when("each seed relays attempts that all break")
 def relay_all_break(context):
     context.callers = [
-        relay(seed, context.tokens, ["break"], MAX_ATTEMPTS)
+        relay_attempts(seed, context.tokens, ["break"], MAX_ATTEMPTS)
         for seed in context.seeds
     ]
 
 
 @when("the first attempt ends without the end mark")
 def relay_no_done(context):
-    context.callers = [relay(1, context.tokens, ["no_done"], 1)]
+    context.callers = [relay_attempts(1, context.tokens, ["no_done"], 1)]
 
 
 @then("every caller has a whole text or an explicit error")
