--- a/knapweedarch/chat_requests.py
+++ b/knapweedarch/chat_requests.py
@@ -1,4 +1,4 @@
-"""Checks the bodies of chat requests."""
+"""Parses and validates chat requests."""
 
 import json
 
@@ -15,22 +15,22 @@
 
 DEFAULT_MAX_TOKENS = 1024
 MAX_TOKENS_LIMIT = 131_072
-# Fields that the router itself puts into a runner's body.
+# Fields that the router itself sets in the request to a runner.
 RESERVED_FIELDS = frozenset({"prefix_blocks", "resume"})
-# Fields whose answers carry more than text, which a resume could not carry on.
+# Responses to these carry more than text, which a resume could not continue.
 UNSUPPORTED_FIELDS = frozenset({"tools", "functions", "logprobs"})
 
 
 @attrs.frozen
 class ChatRequest:
-    """A checked chat request.
+    """A validated chat request.
 
     Attributes:
-        rule: Rule of the model.
-        fields: Body of the caller.
-        stream: Whether the caller wants a stream.
-        max_tokens: Most tokens to generate.
-        priority: Class of the request.
+        rule: Rule for the requested model.
+        fields: Decoded JSON body.
+        stream: Whether the response is streamed.
+        max_tokens: Maximum number of tokens to generate.
+        priority: Priority class of the request.
     """
 
     rule: ModelRule
@@ -43,20 +43,21 @@
 def parse_chat(
     data: bytes, call: Call, customer: CustomerRule, rules: Rules
 ) -> ChatRequest:
-    """Checks the body and headers of a chat request.
+    """Validates the body and headers of a chat request.
 
     Raises:
-        RefusedError: They are malformed or the customer may not do that.
+        RefusedError: The request is malformed, or the customer is not allowed
+            to use the model or the priority class.
     """
     try:
         fields = json.loads(data)
     except (ValueError, RecursionError) as exc:
-        raise _bad_body(f"the body is no JSON: {exc}") from exc
+        raise _bad_body(f"the body is not valid JSON: {exc}") from exc
     if not isinstance(fields, dict):
-        raise _bad_body("the body is no JSON object")
+        raise _bad_body("the body is not a JSON object")
     messages = fields.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise _bad_body("messages must be a list that is not empty")
+        raise _bad_body("messages must be a non-empty list")
     if not all(isinstance(m, dict) and "role" in m for m in messages):
         raise _bad_body("each message must be an object with a role")
     if reserved := RESERVED_FIELDS & fields.keys():
@@ -82,7 +83,7 @@
     rule = next((r for r in rules.models if r.name == name), None)
     if rule is None:
         raise RefusedError(
-            RefusalReason.UNKNOWN_MODEL, "no rule names this model"
+            RefusalReason.UNKNOWN_MODEL, "the model does not exist"
         )
     if customer.models and name not in customer.models:
         raise RefusedError(
@@ -96,7 +97,7 @@
     if value is None:
         return DEFAULT_MAX_TOKENS
     if type(value) is not int or not 1 <= value <= MAX_TOKENS_LIMIT:
-        raise _bad_body(f"max_tokens must be 1 to {MAX_TOKENS_LIMIT}")
+        raise _bad_body(f"max_tokens must be from 1 to {MAX_TOKENS_LIMIT}")
     return value
 
 
@@ -106,16 +107,17 @@
     try:
         priority = Priority[name.upper()]
     except KeyError as exc:
-        raise _bad_body("x-class names no class") from exc
+        raise _bad_body("x-class is not a priority class") from exc
     if priority < customer.priority:
         raise RefusedError(
-            RefusalReason.NOT_ALLOWED, "this customer may not use this class"
+            RefusalReason.NOT_ALLOWED,
+            "this customer may not use this priority class",
         )
     return priority
 
 
 def prompt_bytes(messages: list[dict]) -> bytes:
-    """Encodes messages so that a longer conversation extends a shorter one."""
+    """Encodes messages so that appending one only extends the bytes."""
     parts = []
     for message in messages:
         content = message.get("content")
--- a/knapweedarch/chat_streams.py
+++ b/knapweedarch/chat_streams.py
@@ -11,18 +11,18 @@
 from knapweedarch.streams import SseDecoder, StreamEvent, parse_event
 
 STREAM_IDLE_TIMEOUT_S = 2.0
-# Time to wait for the end of the body after the end mark, so that the
-# connection can be used again; the caller has its answer by then.
+# Time to wait for the end of the body after the `[DONE]` marker, so that the
+# connection can be reused. The caller's response does not wait for it.
 END_OF_BODY_TIMEOUT_S = 0.05
 
 
 class ChatStream:
     """Events of one attempt.
 
-    The reader bounds the time of `read`; see `watchdogs`.
+    `read` has no timeout of its own; the caller applies one (see `watchdogs`).
 
     Attributes:
-        first_event_s: Longest wait for the first event in seconds.
+        first_event_s: Timeout for the first event in seconds.
     """
 
     def __init__(self, exchange: Exchange, first_event_s: float):
@@ -32,10 +32,11 @@
         self._decoder = SseDecoder()
 
     async def read(self) -> list[StreamEvent]:
-        """Reads the events that arrived together; none at the end.
+        """Reads the next batch of events; empty at the end of the stream.
 
         Raises:
-            EndpointError: The stream broke.
+            EndpointError: The connection failed.
+            StreamProtocolError: An event is too long.
         """
         try:
             async for data in self._body:
@@ -50,7 +51,7 @@
         return self._exchange.failed(reason, message)
 
     async def drain_body(self) -> None:
-        """Reads the end of the body, so that the connection can be kept."""
+        """Reads the end of the body, so that the connection can be reused."""
         with (
             contextlib.suppress(httpx.HTTPError),
             anyio.move_on_after(END_OF_BODY_TIMEOUT_S),
--- a/knapweedarch/chats.py
+++ b/knapweedarch/chats.py
@@ -1,4 +1,4 @@
-"""Chat requests: attempts at runners, resumes, and the caller's answer."""
+"""Runs chat requests: attempts at runners, resumes, and the response."""
 
 import contextlib
 import json
@@ -45,8 +45,10 @@
 if TYPE_CHECKING:
     from knapweedarch.gateway import RouterPort
 
-SEND_REFUSED_MESSAGE = "this router starts no new work now"
-# A runner answers these before it runs anything.
+SEND_REFUSED_MESSAGE = (
+    "the router is not sending requests to runners at the moment"
+)
+# A runner returns these errors before it starts to process a request.
 NOT_RUN_REASONS = frozenset(
     {
         RetryReason.WRONG_INCARNATION,
@@ -66,12 +68,12 @@
     async def handle(
         self, call: Call, customer: CustomerRule, request_id: str
     ) -> None:
-        """Answers one request.
+        """Handles one request and sends the response.
 
         Raises:
-            RefusedError: Nothing was sent to the caller yet.
-            CallerGoneError: The caller left.
-            SlowCallerError: The caller takes no data.
+            RefusedError: The request failed before the response was started.
+            CallerGoneError: The caller closed the connection.
+            SlowCallerError: A write to the caller timed out.
         """
         router = self._router
         if reason := router.start_refusal():
@@ -101,11 +103,12 @@
             try:
                 await run.run()
             except (RefusedError, SlowCallerError) as exc:
-                # Raised outside the group, which would wrap it.
+                # Raised outside the task group, which would wrap it in an
+                # exception group.
                 failure = exc
             group.cancel_scope.cancel()
         if caller_disconnected and not run.ended:
-            raise CallerGoneError("the caller left")
+            raise CallerGoneError("the caller closed the connection")
         if failure is not None:
             raise failure
 
@@ -132,11 +135,11 @@
 
 
 class ChatRun:
-    """The attempts of one request.
+    """Runs one request: the first attempt and its retries.
 
     Attributes:
-        watchdog: Must run beside `run`.
-        ended: Whether the end of the answer is on its way to the caller.
+        watchdog: Its `run` must run concurrently with `run` of this class.
+        ended: Whether the end of the response is being sent to the caller.
     """
 
     def __init__(
@@ -158,11 +161,11 @@
         self._outcome = Outcome.NOT_RUN
 
     async def run(self) -> None:
-        """Tries until the answer is whole or no try is left.
+        """Makes attempts until the response is complete or retries run out.
 
         Raises:
-            RefusedError: The sink refused the answer.
-            SlowCallerError: The caller takes no data.
+            RefusedError: The sink rejected the response.
+            SlowCallerError: A write to the caller timed out.
         """
         decision = await self._router.place(self._ticket)
         while isinstance(decision, Dispatch):
@@ -176,7 +179,7 @@
         await self._fail(self._refusal(decision))
 
     async def _run_attempt(self, attempt: Attempt) -> RefusedError | None:
-        """Makes one attempt; returns a refusal if no other may follow."""
+        """Makes one attempt; returns an error if it must not be retried."""
         attempt_id = f"{self._router.incarnation}/{attempt.number}"
         self._state.begin(attempt_id)
         result = AttemptResult(cancelled=True)
@@ -196,8 +199,8 @@
             result = AttemptResult(RetryReason(exc.reason), relay.cached_tokens)
             self._record_failure(attempt, exc)
         finally:
-            # A finished stream needs no cancel; an attempt that may still run
-            # would hold the runner's slot.
+            # An attempt that may still be running is cancelled, since it would
+            # occupy a slot of the runner. A finished stream needs no cancel.
             self._router.scheduler.finished(
                 attempt, result, self._router.clock.now()
             )
@@ -224,7 +227,8 @@
             limit_s,
         ) as stream:
             await relay.run(stream)
-            # The server reports a disconnect after a whole answer too.
+            # Set first: the ASGI server also reports a disconnect after a
+            # complete response.
             self.ended = True
             self._router.count("requests.finished")
             await self._sink.finish(self._state.finish)
@@ -272,8 +276,8 @@
         if self._state.started:
             if not self._state.resumable:
                 return Refuse(RefusalReason.NO_RESUME)
-            # The text so far is of these weights; others would not go on
-            # with it. The next token gets the time of a first one.
+            # Other weights would not continue the text generated so far. The
+            # next token gets the time limit of a first token.
             self._ticket = attrs.evolve(
                 self._ticket,
                 weights_version=failed.endpoint.weights_version,
@@ -291,7 +295,7 @@
     def _refusal(self, decision: Refuse) -> RefusedError:
         return RefusedError(
             decision.reason,
-            f"the request was refused: {decision.reason.value}",
+            f"the request could not be placed: {decision.reason.value}",
             self._current_outcome(),
             decision.retry_after_s,
         )
@@ -311,11 +315,11 @@
 
 @attrs.define
 class _AttemptRelay:
-    """Passes the tokens of one attempt on.
+    """Relays the tokens of one attempt to the sink.
 
     Attributes:
         sent: Whether bytes of the request may have been written.
-        cached_tokens: Prompt tokens found in the cache, if told.
+        cached_tokens: Prompt tokens found in the cache, if reported.
     """
 
     router: "RouterPort"
@@ -328,11 +332,12 @@
     _before_first_token: bool = True
 
     async def run(self, stream: ChatStream) -> None:
-        """Relays until the end mark.
+        """Relays events until the `[DONE]` marker.
 
         Raises:
-            StreamFault: The attempt broke the rules of a stream.
-            EndpointError: The stream broke or was silent.
+            StreamProtocolError: The runner violated the stream protocol.
+            EndpointError: The connection failed or a read timed out.
+            SlowCallerError: A write to the caller timed out.
         """
         watchdog = self.watchdog
         with anyio.CancelScope() as scope:
@@ -353,14 +358,15 @@
         match self.watchdog.expired:
             case Step.WRITE:
                 return SlowCallerError(
-                    f"the caller took no data in {WRITE_TIMEOUT_S} s"
+                    f"a write to the caller timed out after {WRITE_TIMEOUT_S} s"
                 )
             case Step.FIRST_EVENT:
                 return stream.failed(
-                    RetryReason.FIRST_TOKEN_TIMEOUT, "the first token is late"
+                    RetryReason.FIRST_TOKEN_TIMEOUT,
+                    "the first token did not arrive in time",
                 )
         return stream.failed(
-            RetryReason.STREAM_SILENT, f"silent for {STREAM_IDLE_TIMEOUT_S} s"
+            RetryReason.STREAM_SILENT, f"no event for {STREAM_IDLE_TIMEOUT_S} s"
         )
 
     async def _deliver_chunks(self, events) -> None:
@@ -374,7 +380,8 @@
                 if self.state.finish is not None:
                     return
         finally:
-            # What came before a fault is good, and counts as delivered.
+            # Chunks before an invalid event passed the checks and count as
+            # accepted, so they are delivered.
             if chunks:
                 self._record_first_token(chunks[0])
                 await self.sink.deliver(chunks)
@@ -393,7 +400,7 @@
             self._count_prompt_tokens(chunk.cached_tokens)
 
     def _count_prompt_tokens(self, cached_tokens: int) -> None:
-        """Counts what the runner found in its cache and what it computed."""
+        """Counts cached and computed prompt tokens, and missed cache hits."""
         attempt = self.attempt
         computed = max(0, attempt.ticket.prompt_tokens - cached_tokens)
         expected = attempt.cached_blocks * BLOCK_TOKENS
--- a/knapweedarch/service_calls.py
+++ b/knapweedarch/service_calls.py
@@ -1,4 +1,4 @@
-"""Checks calls to plain services, and the refusals that they share."""
+"""Validates calls to plain services and builds their errors."""
 
 import hashlib
 
@@ -8,24 +8,24 @@
 from knapweedarch.exchanges import SendRefusedError
 from knapweedarch.models import Outcome, RefusalReason, ServiceRule
 
-# They change nothing, so that they need no key even on a `once` route.
+# Safe methods change no state, so they need no key even on a `once` route.
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 MAX_KEY_CHARS = 255
 
 
 @attrs.frozen
 class ServiceCall:
-    """A checked call to a service.
+    """A validated call to a service.
 
     Attributes:
-        rule: Rule of the service.
+        rule: Rule for the service.
         request_id: Identity of the request.
         method: HTTP method.
-        path: Path and query, quoted.
-        headers: Headers for the endpoint.
-        body: Body.
-        deadline: Time by which the caller gets an answer.
-        key: Idempotency key; empty for a repeatable call.
+        path: Percent-encoded path and query.
+        headers: Headers to send to the endpoint.
+        body: Request body.
+        deadline: Time by which the caller must get a response.
+        key: Idempotency key; empty if the call may run more than once.
         record_key: Key of the at-most-once record.
     """
 
@@ -41,7 +41,7 @@
 
     @property
     def digest(self) -> bytes:
-        """Digest of all that must be equal in a resend."""
+        """Digest of the parts that must be the same in a resend."""
         head = f"{self.method}\0{self.path}\0".encode()
         return hashlib.sha256(head + self.body).digest()
 
@@ -49,8 +49,8 @@
 def split_path(path: str) -> tuple[str, str]:
     """Splits `/services/{service}/...` into the service and its path.
 
-    Paths that an endpoint could read in another way than the rules do are
-    refused, since a `once` route could be reached by them unmarked.
+    Paths that an endpoint could normalise to another path are refused, since
+    they could reach a `once` route without matching its prefix.
 
     Raises:
         RefusedError: The path is not canonical.
@@ -61,16 +61,16 @@
     if not segments or empty or segments[-1] in (".", "..") or not plain:
         raise RefusedError(
             RefusalReason.UNKNOWN_PATH,
-            "the path has empty, dotted or unprintable parts",
+            "the path has an empty, dot or unprintable segment",
         )
     return name, "/" + "/".join(segments)
 
 
 def idempotency_key(call: Call, rule: ServiceRule, path: str) -> str:
-    """Returns the key of a call that may run at most once, else nothing.
+    """Returns the key of a call that may run at most once, else "".
 
     Raises:
-        RefusedError: The route needs a key, and there is none or a bad one.
+        RefusedError: The route needs a key, and it is missing or invalid.
     """
     once = any(path.startswith(prefix) for prefix in rule.once)
     if not once or call.method in SAFE_METHODS:
@@ -78,7 +78,8 @@
     key = call.header("idempotency-key")
     if not key:
         raise RefusedError(
-            RefusalReason.KEY_REQUIRED, "this route needs an Idempotency-Key"
+            RefusalReason.KEY_REQUIRED,
+            "this route requires an Idempotency-Key header",
         )
     if len(key) > MAX_KEY_CHARS or not key.isascii() or not key.isprintable():
         raise RefusedError(
@@ -90,17 +91,17 @@
 
 
 def answer_too_large_error(limit: int = 0) -> RefusedError:
-    """Builds the refusal of an answer that exceeds a bound in bytes."""
-    stored = f"; answers over {limit} bytes are not recorded" if limit else ""
+    """Builds the error for a response over a size limit in bytes."""
+    stored = f"; responses over {limit} bytes are not recorded" if limit else ""
     return RefusedError(
         RefusalReason.ANSWER_TOO_LARGE,
-        f"the call was run, but its answer is too large{stored}",
+        f"the call was run, but its response is too large{stored}",
         Outcome.RUN,
     )
 
 
 def in_progress_error() -> RefusedError:
-    """Builds the refusal of a resend while the first call runs."""
+    """Builds the error for a resend while the first call is running."""
     return RefusedError(
         RefusalReason.IN_PROGRESS,
         "a call with this key is still running",
@@ -109,18 +110,18 @@
 
 
 def outcome_unknown_error() -> RefusedError:
-    """Builds the refusal of a call that may or may not have run."""
+    """Builds the error for a call that may or may not have run."""
     return RefusedError(
         RefusalReason.OUTCOME_UNKNOWN,
-        "it is not known whether the call was run; it is not sent again",
+        "it is unknown whether the call was run; it will not be sent again",
         Outcome.UNKNOWN,
     )
 
 
 def send_refused_error(exc: SendRefusedError, written: bool) -> RefusedError:
-    """Builds the refusal of a call that this router may not send."""
+    """Builds the error for a call that this router may not send."""
     return RefusedError(
         exc.refusal,
-        "this router starts no new work now",
+        "the router is not sending calls to services at the moment",
         Outcome.UNKNOWN if written else Outcome.NOT_RUN,
     )
--- a/knapweedarch/services.py
+++ b/knapweedarch/services.py
@@ -1,8 +1,9 @@
-"""Calls to plain services, repeatable ones and those that run at most once.
+"""Forwards calls to plain services, with retries or at most once.
 
-A call on a route marked `once` is reserved in the replicated log before it is
-sent and settled after it. The holder of a reservation is unique per call, so
-that a delayed copy of a command can never act on a later call.
+A call on a `once` route is reserved in the replicated log before it is sent,
+and its result is recorded there (settled) afterwards. The holder of a
+reservation is unique per call, so that a delayed copy of a command can never
+affect a later call.
 """
 
 import functools
@@ -50,7 +51,8 @@
 if TYPE_CHECKING:
     from knapweedarch.gateway import RouterPort
 
-# Repeating them after bytes were written is harmless by the HTTP standard.
+# Idempotent by the HTTP standard, so they may be retried after bytes were
+# written.
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
 METHODS = IDEMPOTENT_METHODS | {"POST", "PATCH"}
 FORWARDED_HEADERS = ("content-type", "accept", "idempotency-key")
@@ -59,8 +61,8 @@
 MAX_ATTEMPTS = 3
 RESERVE_TIMEOUT_S = 3.0
 SETTLE_TIMEOUT_S = 3.0
-# Settling goes on in the background for this long; after that the record
-# becomes `outcome_unknown_error` when the lease of this router ends.
+# Settling is retried in the background for this long; after that the record
+# becomes `unknown` when the lease of this router ends.
 SETTLE_LIMIT_S = 30.0
 SETTLE_RETRY_DELAY_S = 0.25
 POLL_INTERVAL_S = 0.1
@@ -82,17 +84,18 @@
     async def handle(
         self, call: Call, customer: CustomerRule, request_id: str
     ) -> None:
-        """Answers one call.
+        """Forwards one call and sends the response.
 
         Raises:
-            RefusedError: There is no answer of the service.
+            RefusedError: There is no response of the service.
         """
         service_call = await self._parse_call(call, customer, request_id)
         self._check_admission(service_call)
         self._running += 1
         try:
             if service_call.key:
-                # It must be settled even if the server ends its handlers.
+                # The call must be settled even if the server cancels its
+                # handlers.
                 answer = await self._background.run_to_completion(
                     self._run_at_most_once, service_call
                 )
@@ -111,7 +114,7 @@
     def _check_admission(self, service_call: ServiceCall) -> None:
         reason, message = (
             self._router.start_refusal(),
-            "no new work starts here",
+            "the router is not accepting new requests",
         )
         if reason is None and self._running >= MAX_RUNNING_CALLS:
             reason = RefusalReason.QUEUE_FULL
@@ -129,11 +132,11 @@
         rule = next((r for r in rules if r.name == name), None)
         if rule is None:
             raise RefusedError(
-                RefusalReason.UNKNOWN_SERVICE, "no rule names this service"
+                RefusalReason.UNKNOWN_SERVICE, "the service does not exist"
             )
         if call.method not in METHODS:
             raise RefusedError(
-                RefusalReason.NOT_ALLOWED, "this method is not served"
+                RefusalReason.NOT_ALLOWED, "this HTTP method is not supported"
             )
         key = idempotency_key(call, rule, path)
         body = await call.read_body(self._router.max_body_bytes)
@@ -141,7 +144,8 @@
         headers = {n: call.header(n) for n in FORWARDED_HEADERS}
         if not "".join(headers.values()).isascii():
             raise RefusedError(
-                RefusalReason.BAD_BODY, "a header is not plain ASCII"
+                RefusalReason.BAD_BODY,
+                "a forwarded header contains non-ASCII characters",
             )
         headers |= {"x-request-id": request_id, "x-customer": customer.name}
         return ServiceCall(
@@ -159,7 +163,8 @@
         endpoints = self._router.service_endpoints(service_call.rule.name)
         if not endpoints:
             raise RefusedError(
-                RefusalReason.NO_CAPACITY, "no endpoint serves this service"
+                RefusalReason.NO_CAPACITY,
+                "no endpoint is active for this service",
             )
         return list(endpoints)
 
@@ -205,13 +210,13 @@
     async def _send_with_retries(
         self, service_call: ServiceCall
     ) -> ServiceAnswer:
-        """Tries endpoints in turn, within the retry budget."""
+        """Tries the endpoints in order, within the retry budget."""
         endpoints = self._endpoints(service_call)
         self._retry_budget.first_attempt()
         written = False
         for number in range(MAX_ATTEMPTS):
             endpoint = endpoints[number % len(endpoints)]
-            # Half of the time is kept for another endpoint.
+            # Half of the remaining time is left for another attempt.
             time_share = 1.0 if number == MAX_ATTEMPTS - 1 else 0.5
             try:
                 answer = await self._send(
@@ -234,17 +239,18 @@
                 await anyio.sleep(min(delay, self._remaining_s(service_call)))
         raise RefusedError(
             RefusalReason.ENDPOINT_FAILED,
-            "no endpoint of this service gave a whole answer",
+            "no endpoint of this service returned a complete response",
             Outcome.UNKNOWN if written else Outcome.NOT_RUN,
         )
 
     async def _run_at_most_once(
         self, service_call: ServiceCall
     ) -> ServiceAnswer:
-        """Runs a call at most once over all routers.
+        """Runs a call at most once across all routers.
 
         Raises:
-            RefusedError: The call has no answer; its outcome tells why.
+            RefusedError: The call has no response; `outcome` tells whether it
+                was run.
         """
         poll_s = POLL_INTERVAL_S
         while True:
@@ -266,7 +272,7 @@
             poll_s = min(2 * poll_s, MAX_POLL_INTERVAL_S)
 
     async def _wait_for_key(self, service_call: ServiceCall) -> None:
-        """Waits until this router runs no call with the same key."""
+        """Waits until no call with the same key is running in this router."""
         while running_call := self._running_keys.get(service_call.record_key):
             with anyio.move_on_after(self._remaining_s(service_call)) as scope:
                 await running_call.wait()
@@ -276,7 +282,7 @@
     async def _reserve_and_send(
         self, service_call: ServiceCall
     ) -> ServiceAnswer | None:
-        """Returns None while another router runs the call."""
+        """Reserves and sends a call; returns None if it is already running."""
         holder = f"{self._router.incarnation}/{next(self._numbers)}"
         epoch = self._router.lease_epoch()
         reserve = Reserve(
@@ -285,7 +291,7 @@
         try:
             result = await self._router.submit(reserve, RESERVE_TIMEOUT_S)
         except ControlError as exc:
-            # The reservation may have been recorded; nobody will use it.
+            # The reservation may have been recorded, so it is released.
             await self._background.start(
                 self._settle_with_retries,
                 Settle(service_call.record_key, holder, None),
@@ -299,19 +305,20 @@
             case Reserved():
                 return await self._send_reserved(service_call, holder, epoch)
             case RecordFound(record=record) if record.holder == holder:
-                # The first answer to this reservation was lost.
+                # The response to the first copy of this command was lost.
                 return await self._send_reserved(service_call, holder, epoch)
             case RecordFound(record=record):
                 return _recorded_answer(record, service_call)
         raise RefusedError(
-            RefusalReason.TOO_MANY_RECORDS, "too many keys are recorded"
+            RefusalReason.TOO_MANY_RECORDS,
+            "the table of idempotency keys is full",
         )
 
     def _send_refusal_in_epoch(self, epoch: int) -> RefusalReason | None:
-        """Checks that the lease has run without a lapse since `epoch`.
+        """Returns why a call reserved in lease epoch `epoch` may not be sent.
 
-        In a lapse the leader may have recorded the call as unknown, after
-        which it must not be sent.
+        If the lease expired in between, the leader may have recorded the call
+        as unknown, and then it must not be sent.
         """
         reason = send_refusal(self._router.start_refusal)
         if reason is None and self._router.lease_epoch() != epoch:
@@ -349,11 +356,11 @@
             return _check_size(answer)
         await self._settle_or_retry_later(settle)
         raise RefusedError(
-            RefusalReason.NO_CAPACITY, "no endpoint took the connection"
+            RefusalReason.NO_CAPACITY, "no endpoint accepted the connection"
         )
 
     async def _settle_or_retry_later(self, settle: Settle) -> None:
-        """Settles, and goes on in the background if that fails."""
+        """Settles, and retries in the background if that fails."""
         try:
             await self._router.submit(settle, SETTLE_TIMEOUT_S)
         except ControlError:
@@ -372,11 +379,11 @@
 def _recorded_answer(
     record: Record, service_call: ServiceCall
 ) -> ServiceAnswer | None:
-    """Returns the recorded answer, or None while the call is running."""
+    """Returns the recorded response, or None while the call is running."""
     if record.body_digest != service_call.digest:
         raise RefusedError(
             RefusalReason.KEY_REUSED,
-            "the Idempotency-Key belongs to another request",
+            "the Idempotency-Key was already used with a different request",
         )
     match record.status:
         case RecordStatus.DONE:
@@ -389,7 +396,7 @@
 
 
 def _settle_with_answer(settle: Settle, answer: ServiceAnswer) -> Settle:
-    """Records the answer, or that it was too large to be recorded."""
+    """Adds the response, or an error if it is too large to be recorded."""
     if answer.too_large or len(answer.body) > MAX_STORED_BYTES:
         refused = answer_too_large_error(MAX_STORED_BYTES)
         answer = ServiceAnswer(refused.code, JSON_TYPE, refused.body())
