--- a/knapweedarch/callers.py
+++ b/knapweedarch/callers.py
@@ -1,4 +1,4 @@
-"""HTTP exchange with a caller: bounded reading, timed writing, refusals."""
+"""HTTP exchange with a caller: size limits, write timeouts and errors."""
 
 import json
 from collections.abc import Awaitable, Callable, MutableMapping
@@ -9,16 +9,19 @@
 from knapweedarch.exceptions import KnapweedarchError
 from knapweedarch.models import Outcome, RefusalReason
 
-# A caller that takes nothing for this long loses its stream. Long enough for
-# a mobile link to change cells, short enough to free the runner's slot.
+# A stream is ended when a write to its caller takes longer than this. Long
+# enough for a mobile link to change cells, short enough to free the runner's
+# slot.
 WRITE_TIMEOUT_S = 10.0
-# Longest time for a whole body, so that a slow sender holds no place for good.
+# Time limit for reading a request body, so that a slow sender cannot occupy
+# memory indefinitely.
 BODY_TIMEOUT_S = 30.0
-# Bodies held at once in a router, waiting or running. A router has 256 MB for
-# its own work; parsed bodies take about as much again.
+# Limit for the request bodies in memory at one time, of waiting and running
+# requests. A router has 256 MB for its own work; parsed bodies take about as
+# much again.
 MAX_BUFFERED_BYTES = 64 * 1024 * 1024
-# A refused body is read on for a while, because closing a connection with
-# unread data resets it and may destroy the refusal on its way.
+# Part of a rejected body is read and discarded, because closing a connection
+# with unread data resets it, and the caller may then lose the error response.
 MAX_DISCARD_BYTES = 8 * 1024 * 1024
 DISCARD_TIMEOUT_S = 1.0
 
@@ -62,17 +65,17 @@
 
 
 class SlowCallerError(KnapweedarchError):
-    """The caller took no data for `WRITE_TIMEOUT_S`."""
+    """A write to the caller exceeded `WRITE_TIMEOUT_S`."""
 
 
 class RefusedError(KnapweedarchError):
-    """The request gets an error answer.
+    """The request is answered with an error response.
 
     Attributes:
         reason: Machine-readable reason.
-        message: For people.
-        outcome: Whether the request was run.
-        retry_after_s: When a new try is worth it, in seconds.
+        message: Human-readable message.
+        outcome: Whether the request was run, or whether that is unknown.
+        retry_after_s: Delay before the caller should retry, in seconds.
     """
 
     def __init__(
@@ -90,11 +93,11 @@
 
     @property
     def code(self) -> int:
-        """HTTP status."""
+        """HTTP status code."""
         return _STATUS_CODES[self.reason]
 
     def body(self) -> bytes:
-        """Returns the error body."""
+        """Returns the JSON body of the error response."""
         return json.dumps(
             {
                 "error": {
@@ -108,41 +111,42 @@
 
 @attrs.define
 class BodyBudget:
-    """Bounds the bodies that a router holds at once.
+    """Limits the total size of the request bodies in memory.
 
     Attributes:
-        limit: Bytes that all bodies may take together.
-        held: Bytes that they take now.
+        limit: Maximum total in bytes.
+        reserved_bytes: Current total in bytes.
     """
 
     limit: int = MAX_BUFFERED_BYTES
     reserved_bytes: int = 0
 
     def reserve(self, size: int) -> None:
-        """Reserves room for a part of a body.
+        """Reserves memory for a part of a body.
 
         Raises:
-            RefusedError: There is none.
+            RefusedError: The limit would be exceeded.
         """
         if self.reserved_bytes + size > self.limit:
             raise RefusedError(
-                RefusalReason.QUEUE_FULL, "the router holds too many requests"
+                RefusalReason.QUEUE_FULL,
+                "the memory limit for request bodies is reached",
             )
         self.reserved_bytes += size
 
 
 @attrs.define
 class Call:
-    """One request of a caller and the answer to it.
+    """One HTTP request of a caller and its response.
 
     Attributes:
         method: HTTP method.
-        path: Decoded path.
-        query: Query as sent.
-        headers: Headers by lower-case name; the last of equal names counts.
-        budget: Shared by all calls of the router.
-        held: Bytes that this call has taken from the budget.
-        started: Whether the head of the answer was sent.
+        path: Percent-decoded path.
+        query: Query string as sent.
+        headers: Headers by lower-case name; the last one of a repeated name.
+        budget: Memory limit shared by all calls of the router.
+        reserved_bytes: Bytes that this call has reserved in the budget.
+        started: Whether the response head was sent.
     """
 
     method: str
@@ -156,16 +160,16 @@
     started: bool = False
 
     def header(self, name: str) -> str:
-        """Returns a header, or an empty text."""
+        """Returns the value of a header, or an empty string."""
         return self.headers.get(name, "")
 
     async def read_body(self, limit: int) -> bytes:
-        """Reads the whole body.
+        """Reads the complete request body.
 
         Raises:
             RefusedError: The body is longer than `limit` bytes, takes longer
-                than `BODY_TIMEOUT_S`, or there is no room for it.
-            CallerGoneError: The caller left.
+                than `BODY_TIMEOUT_S`, or exceeds the memory limit.
+            CallerGoneError: The caller closed the connection.
         """
         declared = self.header("content-length")
         if declared.isdecimal() and int(declared) > limit:
@@ -174,7 +178,7 @@
             return await self._read_chunks(limit)
         raise RefusedError(
             RefusalReason.SLOW_CALLER,
-            f"the body took longer than {BODY_TIMEOUT_S} s",
+            f"the body did not arrive within {BODY_TIMEOUT_S} s",
         )
 
     async def _read_chunks(self, limit: int) -> bytes:
@@ -182,7 +186,7 @@
         while True:
             message = await self.receive()
             if message["type"] == "http.disconnect":
-                raise CallerGoneError("the caller left")
+                raise CallerGoneError("the caller closed the connection")
             part = message.get("body", b"")
             self.budget.reserve(len(part))
             self.reserved_bytes += len(part)
@@ -193,7 +197,7 @@
                 return b"".join(parts)
 
     def release(self) -> None:
-        """Gives the room of the body back."""
+        """Releases the memory reserved for the body."""
         self.budget.reserved_bytes -= self.reserved_bytes
         self.reserved_bytes = 0
 
@@ -210,12 +214,12 @@
         )
 
     async def wait_for_disconnect(self) -> None:
-        """Returns when the caller has closed its connection."""
+        """Waits until the caller has closed the connection."""
         while (await self.receive())["type"] != "http.disconnect":
             pass
 
     async def start(self, code: int, fields: dict[str, str]) -> None:
-        """Sends the head of the answer."""
+        """Sends the response head."""
         self.started = True
         headers = [(k.encode(), v.encode()) for k, v in fields.items()]
         await self._send(
@@ -223,13 +227,13 @@
         )
 
     async def write(self, data: bytes) -> None:
-        """Sends a part of the body; whoever calls it bounds the time."""
+        """Sends a part of the response body, without a timeout."""
         await self.send(
             {"type": "http.response.body", "body": data, "more_body": True}
         )
 
     async def finish(self, data: bytes = b"") -> None:
-        """Sends the last part of the body."""
+        """Sends the last part of the response body."""
         await self._send({"type": "http.response.body", "body": data})
 
     async def send_response(
@@ -239,18 +243,18 @@
         content_type: str = JSON_TYPE,
         fields: dict[str, str] | None = None,
     ) -> None:
-        """Sends a whole answer."""
+        """Sends a complete response."""
         head = {"content-type": content_type} if content_type else {}
         head |= {"content-length": str(len(data)), **(fields or {})}
         await self.start(code, head)
         await self.finish(data)
 
     async def send_json(self, code: int, body: object) -> None:
-        """Sends a whole answer in JSON."""
+        """Sends a complete JSON response."""
         await self.send_response(code, json.dumps(body).encode())
 
     async def send_error(self, refused: RefusedError) -> None:
-        """Sends an error answer; must be the first thing sent."""
+        """Sends an error response; the response must not have been started."""
         fields = {}
         if refused.code in (429, 503):
             fields["retry-after"] = str(max(1, round(refused.retry_after_s)))
@@ -263,7 +267,7 @@
             await self.send(message)
         if scope.cancelled_caught:
             raise SlowCallerError(
-                f"the caller took no data for {WRITE_TIMEOUT_S} s"
+                f"a write to the caller timed out after {WRITE_TIMEOUT_S} s"
             )
 
 
@@ -272,7 +276,8 @@
 ) -> RefusalReason | None:
     """Returns why an accepted request may not be sent now.
 
-    A planned stop lets accepted requests finish; an expired lease does not.
+    Accepted requests are still sent during a planned stop, but not after the
+    lease has expired.
     """
     reason = start_refusal()
     return None if reason is RefusalReason.STOPPING else reason
--- a/knapweedarch/sinks.py
+++ b/knapweedarch/sinks.py
@@ -1,4 +1,4 @@
-"""Where the tokens of an answer go: a stream of events or a whole answer."""
+"""Writes the response to the caller, as an event stream or as one body."""
 
 import json
 from typing import Protocol
@@ -13,41 +13,44 @@
 
 
 class Sink(Protocol):
-    """Where the tokens of an answer go."""
+    """Receives the tokens of a response and sends it to the caller."""
 
     async def deliver(self, chunks: list[Chunk]) -> None:
-        """Takes over tokens that follow those before."""
+        """Accepts the next tokens."""
 
     async def finish(self, finish: Finish) -> None:
-        """Ends a whole answer."""
+        """Ends a complete response."""
 
     async def fail(self, refused: RefusedError) -> None:
-        """Ends an answer that is not whole."""
+        """Ends an incomplete response with an error."""
 
 
 @attrs.define
 class EventSink:
-    """Relays tokens to the caller as they come."""
+    """Streams tokens to the caller as they arrive."""
 
     call: Call
     request_id: str
 
     async def deliver(self, chunks: list[Chunk]) -> None:
-        """Sends the runner's events on, in one write."""
+        """Relays the runner's events in one write."""
         await self._start()
         await self.call.write(
             b"".join([b"data: " + chunk.data + b"\n\n" for chunk in chunks])
         )
 
     async def finish(self, finish: Finish) -> None:
-        """Sends the finishing event and the end mark."""
+        """Sends the finishing event and the `[DONE]` marker."""
         await self._start()
         await self.call.finish(
             b"data: " + finish.data + b"\n\ndata: [DONE]\n\n"
         )
 
     async def fail(self, refused: RefusedError) -> None:
-        """Sends an error event without the end mark."""
+        """Sends an error event without the `[DONE]` marker.
+
+        If the response has not been started, sends an error response instead.
+        """
         if not self.call.started:
             return await self.call.send_error(refused)
         await self.call.finish(b"data: " + refused.body() + b"\n\n")
@@ -64,7 +67,7 @@
 
 @attrs.define
 class BufferedSink:
-    """Assembles the whole answer."""
+    """Buffers the text and sends it in one JSON response."""
 
     call: Call
     request_id: str
@@ -73,10 +76,10 @@
     _size: int = 0
 
     async def deliver(self, chunks: list[Chunk]) -> None:
-        """Keeps the text.
+        """Buffers the text.
 
         Raises:
-            RefusedError: The answer exceeds `MAX_ANSWER_CHARS`.
+            RefusedError: The text exceeds `MAX_ANSWER_CHARS`.
         """
         for chunk in chunks:
             self._parts.append(chunk.text)
@@ -84,12 +87,12 @@
         if self._size > MAX_ANSWER_CHARS:
             raise RefusedError(
                 RefusalReason.ANSWER_TOO_LARGE,
-                f"the answer exceeds {MAX_ANSWER_CHARS} characters",
+                f"the response exceeds {MAX_ANSWER_CHARS} characters",
                 Outcome.RUN,
             )
 
     async def finish(self, finish: Finish) -> None:
-        """Sends the whole answer."""
+        """Sends the complete response."""
         message = {"role": "assistant", "content": "".join(self._parts)}
         body = {
             "id": f"chatcmpl-{self.request_id}",
@@ -111,5 +114,5 @@
         )
 
     async def fail(self, refused: RefusedError) -> None:
-        """Sends an error answer."""
+        """Sends an error response."""
         await self.call.send_error(refused)
--- a/knapweedarch/streams.py
+++ b/knapweedarch/streams.py
@@ -1,8 +1,8 @@
-"""Checks one stream of tokens and keeps what a resume needs.
+"""Validates one token stream and keeps the state that a resume needs.
 
-A runner may break off, repeat, skip or reorder events, or end without its end
-mark. The caller must see each token once and in order, so every event is
-checked against the offset expected next before anything is passed on.
+A runner may close the stream early, repeat, skip or reorder events, or omit the
+`[DONE]` marker. The caller must get each token once and in order, so the offset
+of every event is checked before the event is relayed.
 """
 
 import json
@@ -12,10 +12,10 @@
 from knapweedarch.exceptions import KnapweedarchError
 from knapweedarch.models import LoadReport, RetryReason
 
-# Longest text kept for a resume, in characters. A longer answer is still
-# delivered, but its stream cannot be resumed. This is about 260,000 tokens.
+# Longest text kept for a resume, in characters: about 260,000 tokens. A longer
+# response is still delivered, but its stream cannot be resumed.
 MAX_RESUME_CHARS = 1024 * 1024
-# Longest event accepted from a runner; real ones have a few hundred bytes.
+# Longest event accepted from a runner; typical ones have a few hundred bytes.
 MAX_EVENT_BYTES = 256 * 1024
 DONE_MARKER = b"[DONE]"
 DATA_PREFIX = b"data:"
@@ -23,17 +23,18 @@
 
 @attrs.frozen
 class Chunk:
-    """Some tokens of the answer.
+    """A run of tokens of the response.
 
     Attributes:
         request_id: Request that the runner says it answers.
         attempt_id: Attempt that the runner says it answers.
-        offset: Offset of the first token, counted from the answer's start.
+        offset: Offset of the first token, counted from the start of the
+            response.
         tokens: Number of tokens.
-        text: Their text.
+        text: Text of the tokens.
         data: The event's data as sent by the runner, without internal fields.
-        cached_tokens: Prompt tokens found in the cache, if told.
-        load: Load of the runner, if told.
+        cached_tokens: Prompt tokens found in the cache, if reported.
+        load: Load of the runner, if reported.
     """
 
     request_id: str
@@ -48,16 +49,16 @@
 
 @attrs.frozen
 class Finish:
-    """The end of the text, with the reason and the usage.
+    """The finishing event, with the finish reason and the usage.
 
     Attributes:
         request_id: Request that the runner says it answers.
         attempt_id: Attempt that the runner says it answers.
-        offset: Number of tokens of the whole answer.
-        reason: Why the text ends, as sent by the runner.
+        offset: Number of tokens of the complete response.
+        reason: Finish reason as sent by the runner.
         data: The event's data as sent by the runner, without internal fields.
         usage: Usage as sent by the runner.
-        load: Load of the runner, if told.
+        load: Load of the runner, if reported.
     """
 
     request_id: str
@@ -71,12 +72,12 @@
 
 @attrs.frozen
 class Done:
-    """The end mark."""
+    """The `[DONE]` marker, which ends a stream."""
 
 
 @attrs.frozen
 class Malformed:
-    """An event that is an error of the runner or cannot be read."""
+    """An event that reports an error of the runner or cannot be parsed."""
 
     message: str
 
@@ -85,10 +86,10 @@
 
 
 class StreamProtocolError(KnapweedarchError):
-    """An attempt broke the rules of a stream; nothing of the event counts.
+    """An attempt violated the stream protocol; the event is discarded.
 
     Attributes:
-        reason: Counter and cause for a retry.
+        reason: Reason for a retry, which also selects the counter.
     """
 
     def __init__(self, reason: RetryReason, message: str):
@@ -97,7 +98,7 @@
 
 
 class SseDecoder:
-    """Splits a byte stream into the data of its server-sent events."""
+    """Extracts the data of server-sent events from a byte stream."""
 
     def __init__(self):
         self._buffer = b""
@@ -105,10 +106,10 @@
     def feed(self, data: bytes) -> list[bytes]:
         """Returns the data of the events completed by these bytes.
 
-        Only one `data:` line per event is supported; all runners send that.
+        Only one `data:` line per event is supported; runners send no more.
 
         Raises:
-            StreamFault: An event is longer than `MAX_EVENT_BYTES`.
+            StreamProtocolError: An event is longer than `MAX_EVENT_BYTES`.
         """
         if self._buffer:
             data = self._buffer + data
@@ -131,10 +132,10 @@
     if data == DONE_MARKER:
         return Done()
     try:
-        # Decoding first spares json.loads the detection of the encoding.
+        # Decoding first avoids the detection of the encoding in json.loads.
         body = json.loads(data.decode())
         if "error" in body:
-            return Malformed(f"the runner reports an error: {body['error']!r}")
+            return Malformed(f"the runner reported an error: {body['error']!r}")
         return _parse_chunk(body, data)
     except (ValueError, KeyError, TypeError, IndexError) as exc:
         return Malformed(f"unreadable event: {exc!r}")
@@ -147,7 +148,7 @@
     reason = choice.get("finish_reason")
     load = parse_load(body["load"]) if "load" in body else None
     if load is not None:
-        # The load of a runner is not the caller's business.
+        # The load of a runner must not be disclosed to the caller.
         del body["load"]
         data = json.dumps(body, separators=(",", ":")).encode()
     if reason is None:
@@ -159,7 +160,7 @@
         )
     usage = body.get("usage") or {}
     if tokens or choice.get("delta", {}).get("content"):
-        raise ValueError("the finishing event carries text")
+        raise ValueError("the finishing event contains text")
     return Finish(
         request_id, attempt_id, offset, str(reason), data, dict(usage), load
     )
@@ -171,7 +172,7 @@
     """Parses the load fields of an event.
 
     Raises:
-        ValueError, TypeError, KeyError: Fields are missing or no numbers.
+        ValueError, TypeError, KeyError: A field is missing or not a number.
     """
     return LoadReport(
         endpoint_id,
@@ -185,12 +186,12 @@
 
 
 class StreamState:
-    """What the caller of one stream has been given so far.
+    """Progress of one stream across its attempts.
 
     Attributes:
         offset: Number of tokens accepted; offset of the next token.
-        finish: The finishing event, once its attempt sent the end mark.
-        attempts: Number of attempts begun.
+        finish: The finishing event, set when the `[DONE]` marker arrives.
+        attempts: Number of attempts started.
     """
 
     def __init__(self, request_id: str):
@@ -210,7 +211,7 @@
 
     @property
     def resumable(self) -> bool:
-        """Whether the text so far is kept and can be given to a runner."""
+        """Whether all text so far is kept, so that a runner can continue it."""
         return self._text_chars <= MAX_RESUME_CHARS
 
     @property
@@ -225,13 +226,13 @@
         self._pending_finish = None
 
     def accept(self, event: StreamEvent) -> bool:
-        """Checks an event of the current attempt.
+        """Validates an event of the current attempt and updates the state.
 
         Returns:
-            Whether the event is a chunk to be passed on.
+            Whether the event is a chunk to be relayed to the caller.
 
         Raises:
-            StreamFault: The attempt must be abandoned.
+            StreamProtocolError: The attempt must be abandoned.
         """
         match event:
             case Chunk():
@@ -243,7 +244,7 @@
                 if self._pending_finish is None:
                     raise StreamProtocolError(
                         RetryReason.STREAM_TRUNCATED,
-                        "the end mark came before the finishing event",
+                        "received [DONE] before the finishing event",
                     )
                 self.finish = self._pending_finish
             case Malformed(message=message):
@@ -251,31 +252,33 @@
         return False
 
     def end(self) -> None:
-        """Notes that the attempt sent all it has.
+        """Checks that the attempt was complete when its stream ended.
 
         Raises:
-            StreamFault: The end mark is missing.
+            StreamProtocolError: The `[DONE]` marker is missing.
         """
         if self.finish is None:
             raise StreamProtocolError(
                 RetryReason.STREAM_TRUNCATED,
-                f"the stream ended after {self.offset} tokens without end mark",
+                f"the stream ended after {self.offset} tokens without [DONE]",
             )
 
     def _accept_chunk(self, chunk: Chunk) -> None:
         self._check_ids(chunk)
         if self._pending_finish is not None:
             raise StreamProtocolError(
-                RetryReason.STREAM_GAP, "tokens came after the finishing event"
+                RetryReason.STREAM_GAP,
+                "received tokens after the finishing event",
             )
         if chunk.offset != self.offset:
             raise StreamProtocolError(
                 RetryReason.STREAM_GAP,
-                f"offset {chunk.offset} came instead of {self.offset}",
+                f"received offset {chunk.offset}, expected {self.offset}",
             )
         if chunk.tokens < 0 or (chunk.tokens == 0 and chunk.text):
             raise StreamProtocolError(
-                RetryReason.STREAM_GAP, "an event has text but no tokens"
+                RetryReason.STREAM_GAP,
+                "an event has text but no tokens, or a negative token count",
             )
         self.offset += chunk.tokens
         self._append_text(chunk.text)
@@ -284,13 +287,13 @@
         self._check_ids(finish)
         if self._pending_finish is not None:
             raise StreamProtocolError(
-                RetryReason.STREAM_GAP, "two finishing events came"
+                RetryReason.STREAM_GAP, "received a second finishing event"
             )
         reported_tokens = finish.usage.get("completion_tokens", self.offset)
         if finish.offset != self.offset or reported_tokens != self.offset:
             raise StreamProtocolError(
                 RetryReason.STREAM_GAP,
-                f"the answer has {reported_tokens} tokens; {self.offset} came",
+                f"usage is {reported_tokens} tokens, received {self.offset}",
             )
         self._pending_finish = finish
 
@@ -301,7 +304,7 @@
         ):
             raise StreamProtocolError(
                 RetryReason.CROSSED_ANSWER,
-                f"an event of attempt {event.attempt_id} came",
+                f"received an event of attempt {event.attempt_id}",
             )
 
     def _append_text(self, text: str) -> None:
--- a/knapweedarch/watchdogs.py
+++ b/knapweedarch/watchdogs.py
@@ -1,4 +1,4 @@
-"""Bounds the steps of a stream without a timer per token."""
+"""Applies timeouts to the steps of a stream without a timer per token."""
 
 import enum
 
@@ -7,13 +7,13 @@
 
 from knapweedarch.timers import Clock, ManualClock
 
-# A step may exceed its limit by up to this much. A cancel scope with a
-# deadline around each read and write cost a fifth of the CPU per token.
+# A step may exceed its limit by up to this much. A cancel scope with a deadline
+# around each read and write cost a fifth of the CPU time per token.
 CHECK_INTERVAL_S = 0.25
 
 
 class Step(enum.Enum):
-    """What a stream waits for."""
+    """Operation that a stream is waiting for."""
 
     FIRST_EVENT = "first_event"
     NEXT_EVENT = "next_event"
@@ -22,10 +22,10 @@
 
 @attrs.define
 class Watchdog:
-    """Cancels a scope when its current step takes too long.
+    """Cancels a scope when its current step exceeds its time limit.
 
     Attributes:
-        expired: The step that took too long, if any did.
+        expired: The step that exceeded its limit, or None.
     """
 
     _clock: Clock | ManualClock
@@ -35,12 +35,12 @@
     _deadline: float = 0.0
 
     def watch(self, scope: anyio.CancelScope) -> None:
-        """Starts watching a scope; the first step must follow."""
+        """Starts to watch a scope; no limit applies until `begin` is called."""
         self._scope, self.expired = scope, None
         self._deadline = float("inf")
 
     def begin(self, step: Step, limit_s: float) -> None:
-        """Starts a step, which ends the one before."""
+        """Starts a step and ends the previous one."""
         self._step = step
         self._deadline = self._clock.now() + limit_s
 
@@ -49,7 +49,7 @@
         self._scope = None
 
     async def run(self) -> None:
-        """Checks until cancelled."""
+        """Checks the current step periodically until cancelled."""
         while True:
             await anyio.sleep(CHECK_INTERVAL_S)
             if self._scope and self._clock.now() >= self._deadline:
