--- a/knapweedarch/background.py
+++ b/knapweedarch/background.py
@@ -1,8 +1,8 @@
-"""Work that must not end with the request that caused it.
+"""Background tasks that outlive the request that started them.
 
-At shutdown the server cancels its handlers by `asyncio`, which no shield of
-`anyio` stops. Work that must be completed therefore runs in the task group of
-the server's lifespan, which ends after all handlers.
+At shutdown the server cancels its handlers through `asyncio`, and a shielded
+`anyio` scope does not prevent that. Work that must be completed therefore runs
+in the task group of the server's lifespan, which ends after all handlers.
 """
 
 from collections.abc import Awaitable, Callable
@@ -14,8 +14,8 @@
 
 from knapweedarch.callers import Receive, Send
 
-# Wait for work still running at shutdown. Longer than a service call and its
-# settling usually take; a reservation left open becomes `unknown`.
+# Time to wait for running tasks at shutdown. Longer than a service call and its
+# settling usually take; a reservation that is not settled becomes `unknown`.
 SHUTDOWN_TIMEOUT_S = 15.0
 
 Result = TypeVar("Result")
@@ -29,9 +29,9 @@
 
 
 class BackgroundTasks:
-    """Runs work in the task group of the server's lifespan.
+    """Runs functions in the task group of the server's lifespan.
 
-    Without a lifespan the work runs in the task that starts it.
+    Without a lifespan they run in the calling task, shielded from cancellation.
     """
 
     def __init__(self):
@@ -42,7 +42,7 @@
     async def start(
         self, function: Callable[..., Awaitable[None]], *arguments: object
     ) -> None:
-        """Starts a function that raises nothing and ends by itself."""
+        """Starts a function, which must not raise and must end by itself."""
         if self._group is None:
             with anyio.CancelScope(shield=True):
                 return await function(*arguments)
@@ -51,10 +51,10 @@
     async def run_to_completion(
         self, function: Callable[..., Awaitable[Result]], *arguments: object
     ) -> Result:
-        """Runs a function to its end, even if the waiting task is cancelled.
+        """Runs a function to completion even if the calling task is cancelled.
 
         Raises:
-            Exception: What the function raised.
+            Exception: The exception that the function raised.
         """
         if self._group is None:
             with anyio.CancelScope(shield=True):
@@ -79,7 +79,7 @@
                 self._idle.set()
 
     async def lifespan(self, receive: Receive, send: Send) -> None:
-        """Answers the lifespan messages of the server."""
+        """Handles the ASGI lifespan protocol and owns the task group."""
         async with anyio.create_task_group() as group:
             self._group = group
             while (await receive())["type"] != "lifespan.shutdown":
--- a/knapweedarch/gateway.py
+++ b/knapweedarch/gateway.py
@@ -43,43 +43,44 @@
 MAX_ANNOUNCEMENT_BYTES = 64 * 1024
 MAX_NAME_CHARS = 128
 MAX_SERVED_NAMES = 64
-# A connection whose peer acknowledges nothing for this long is reset by the
-# kernel. hypercorn waits without limit for a stuck peer when it closes.
+# The kernel resets a connection whose peer acknowledges no data for this long.
+# Without it, hypercorn waits indefinitely for such a peer when it closes.
 TCP_USER_TIMEOUT_MS = 15_000
-# Kernel buffer for what a slow caller has not read; the kernel doubles it.
-# 64 KiB each millisecond of round trip is far more than a stream needs.
+# Kernel send buffer, which holds data that a slow caller has not read; the
+# kernel doubles the value. 64 KiB per millisecond of round-trip time is far
+# more than a stream needs.
 SEND_BUFFER_BYTES = 64 * 1024
 
 
 class SchedulerPort(Protocol):
-    """What the gateway uses of the scheduler; see the design page, 5.1."""
+    """Scheduler interface that the gateway uses; see the design page, 5.1."""
 
     def version_for(self, model: str) -> str:
-        """Returns the weights version to hash a prompt for."""
+        """Returns the weights version that a prompt is hashed for."""
 
     def report_load(self, report: object, now: float) -> None:
-        """Takes over a load report."""
+        """Records a load report."""
 
     def first_token(self, attempt: Attempt, now: float) -> None:
-        """Notes the first token of an attempt."""
+        """Records the first token of an attempt."""
 
     def finished(
         self, attempt: Attempt, outcome: AttemptResult, now: float
     ) -> None:
-        """Notes the end of an attempt."""
+        """Records the result of an attempt."""
 
 
 class RouterPort(Protocol):
-    """What the gateway uses of the router.
+    """Router interface that the gateway uses.
 
     Attributes:
         clock: Clock of the router.
         rules: Rules in force.
-        scheduler: Decides about placement.
-        adapter: Calls endpoints.
-        incarnation: Random text drawn at each start of the router.
-        max_body_bytes: Longest body of a request.
-        endpoint_credential: Credential that endpoints announce with.
+        scheduler: Decides on the placement of requests.
+        adapter: Sends requests to endpoints.
+        incarnation: Random identifier chosen at each start of the router.
+        max_body_bytes: Maximum size of a request body.
+        endpoint_credential: Credential that endpoints send in announcements.
     """
 
     clock: Clock | ManualClock
@@ -91,25 +92,25 @@
     endpoint_credential: str
 
     def customer_for(self, api_key: str) -> CustomerRule | None:
-        """Returns the customer of an API key."""
+        """Returns the customer for an API key, or None if it is unknown."""
 
     def start_refusal(self) -> RefusalReason | None:
-        """Returns why no new work may start now, or None if it may.
+        """Returns why no new request may start now, or None if it may.
 
-        An expired lease comes before `STOPPING`, which does not stop the
-        sends of requests that were accepted before.
+        An expired lease takes precedence over `STOPPING`: requests that were
+        accepted before a planned stop are still sent.
         """
 
     def lease_epoch(self) -> int:
-        """Returns the number of lapses of the lease so far."""
+        """Returns the lease epoch, which changes if the lease has lapsed."""
 
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
-        """Waits for the decision on a request."""
+        """Waits for the placement decision for a request."""
 
     async def place_again(
         self, ticket: Ticket, failed: Attempt
     ) -> Dispatch | Refuse:
-        """Waits for the decision on a further attempt."""
+        """Waits for the placement decision for a retry."""
 
     def service_endpoints(self, name: str) -> Sequence[Endpoint]:
         """Returns the active endpoints of a service, best first."""
@@ -118,30 +119,30 @@
         """Submits a command to the control members.
 
         Raises:
-            ControlError: The command was refused or its outcome is unknown.
+            ControlError: The command was rejected or its outcome is unknown.
         """
 
     async def announce(self, endpoint: Endpoint) -> object | None:
-        """Passes an announcement on if it says anything new."""
+        """Forwards an announcement to the control members if it is new."""
 
     def ready(self) -> bool:
-        """Tells whether the balancer may send callers here."""
+        """Returns whether the load balancer may send requests here."""
 
     def count(self, name: str, number: int = 1) -> None:
-        """Adds to a counter."""
+        """Increments a counter."""
 
     def timing(self, name: str, seconds: float) -> None:
         """Records a duration in seconds."""
 
     def log(self, event: str, **fields: object) -> None:
-        """Logs an event of the catalogue."""
+        """Logs an event of the event catalogue."""
 
 
 class Gateway:
     """The ASGI application; create it with `create_app`.
 
     Attributes:
-        budget: Bounds the bodies that are held at once.
+        budget: Limits the request bodies in memory.
     """
 
     def __init__(self, router: RouterPort):
@@ -155,11 +156,13 @@
     async def __call__(
         self, scope: Message, receive: Receive, send: Send
     ) -> None:
-        """Handles the lifespan or one request."""
+        """Handles the lifespan or one HTTP request."""
         if scope["type"] == "lifespan":
             return await self._background.lifespan(receive, send)
         if scope["type"] != "http":
-            raise ValueError(f"scope type {scope['type']} is not served")
+            raise ValueError(
+                f"ASGI scope type {scope['type']} is not supported"
+            )
         call = create_call(scope, receive, send, self.budget)
         try:
             await self._handle(call)
@@ -170,7 +173,7 @@
         except SlowCallerError as exc:
             self._record_refusal(RefusalReason.SLOW_CALLER, str(exc))
         except Exception as exc:
-            # The server answers 500 or cuts the answer off.
+            # The server sends status 500, or aborts a started response.
             self._router.log("request_failed", error=repr(exc))
             raise
         finally:
@@ -198,7 +201,7 @@
             case _:
                 raise RefusedError(
                     RefusalReason.UNKNOWN_PATH,
-                    f"nothing answers {call.method} {call.path[:200]}",
+                    f"no route for {call.method} {call.path[:200]}",
                 )
 
     def _request_id(self) -> str:
@@ -241,7 +244,8 @@
         if not hmac.compare_digest(expected, received):
             self._router.count("credential.refused")
             raise RefusedError(
-                RefusalReason.BAD_CREDENTIAL, "the endpoint credential is wrong"
+                RefusalReason.BAD_CREDENTIAL,
+                "the endpoint credential is invalid",
             )
         body = await call.read_body(MAX_ANNOUNCEMENT_BYTES)
         endpoint = parse_endpoint(body)
@@ -262,10 +266,10 @@
 
 
 def parse_endpoint(body: bytes) -> Endpoint:
-    """Parses an announcement.
+    """Parses and validates an announcement.
 
     Raises:
-        RefusedError: It is malformed or a field is out of bounds.
+        RefusedError: It is malformed or a field is out of range.
     """
     try:
         endpoint = cattrs.structure(json.loads(body), Endpoint)
@@ -295,14 +299,14 @@
     scheme, _, rest = endpoint.url.partition("://")
     host, _, port = rest.rpartition(":")
     if scheme != "http" or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ValueError("url is not http://NUMBER:PORT")
+        raise ValueError("url must have the form http://IP_ADDRESS:PORT")
     family = socket.AF_INET6 if host.startswith("[") else socket.AF_INET
-    # Only IP numbers: resolving a name would need a thread.
+    # Only IP addresses: resolving a name would need a thread.
     socket.inet_pton(family, host.strip("[]"))
 
 
 def configure_listener(listener: socket.socket) -> None:
-    """Sets the options that accepted connections inherit."""
+    """Sets socket options that accepted connections inherit."""
     listener.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
     )
--- a/knapweedarch/router.py
+++ b/knapweedarch/router.py
@@ -1,4 +1,4 @@
-"""Router daemon: holds the parts of a router together."""
+"""Router daemon: creates and connects the components of a router."""
 
 import hashlib
 import secrets
@@ -45,16 +45,16 @@
 
 
 class Router:
-    """One router; `gateway` serves callers through it.
+    """One router; implements `gateway.RouterPort`.
 
     Attributes:
         clock: Time source.
-        incarnation: Random text drawn at each start.
+        incarnation: Random identifier chosen at each start.
         rules: Rules in force.
-        scheduler: Decides where each request goes.
-        adapter: Calls endpoints.
-        max_body_bytes: Largest request body.
-        endpoint_credential: Secret that endpoints show in announcements.
+        scheduler: Decides on the placement of requests.
+        adapter: Sends requests to endpoints.
+        max_body_bytes: Maximum size of a request body.
+        endpoint_credential: Credential that endpoints send in announcements.
     """
 
     def __init__(
@@ -115,13 +115,13 @@
         await self.adapter.close()
 
     def ready(self) -> bool:
-        """Tells the balancer whether to send callers here."""
+        """Returns whether the load balancer may send requests here."""
         return not self._server.draining and self.start_refusal() is None
 
     def start_refusal(self) -> RefusalReason | None:
-        """Returns why no new work may start now, or None if it may."""
-        # The lease comes first: requests accepted before a planned stop are
-        # still sent, but never without a lease.
+        """Returns why no new request may start now, or None if it may."""
+        # The lease is checked first: requests accepted before a planned stop
+        # are still sent, but never without a lease.
         if not self._keeper.lease.holds(self.clock.now()):
             return RefusalReason.LEASE_EXPIRED
         if self._server.stopping:
@@ -129,11 +129,11 @@
         return None
 
     def lease_epoch(self) -> int:
-        """Returns the number of lapses of the lease so far."""
+        """Returns the lease epoch, which changes if the lease has lapsed."""
         return self._keeper.lease.epoch
 
     def customer_for(self, api_key: str) -> CustomerRule | None:
-        """Returns the customer of an API key."""
+        """Returns the customer for an API key, or None if it is unknown."""
         return self._customers.get(hashlib.sha256(api_key.encode()).hexdigest())
 
     def service_endpoints(self, name: str) -> Sequence[Endpoint]:
@@ -141,7 +141,7 @@
         return self._endpoints.services(name)
 
     def count(self, name: str, number: int = 1) -> None:
-        """Adds to a counter of the metrics catalogue."""
+        """Increments a counter of the metrics catalogue."""
         self._metrics.count(name, number)
 
     def timing(self, name: str, seconds: float) -> None:
@@ -161,10 +161,10 @@
         return await self._control.submit(command, timeout_s)
 
     async def announce(self, endpoint: Endpoint) -> object | None:
-        """Passes an announcement on if it says anything new.
+        """Forwards an announcement to the control members if it is new.
 
         Raises:
-            ControlError: The members did not answer.
+            ControlError: The command was rejected or its outcome is unknown.
         """
         if not self._endpoints.is_news(endpoint):
             return None
@@ -175,20 +175,20 @@
         return result
 
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
-        """Waits for the scheduler's decision on a request."""
+        """Waits for the placement decision for a request."""
         return await self._dispatcher.place(ticket)
 
     async def place_again(
         self, ticket: Ticket, failed: Attempt
     ) -> Dispatch | Refuse:
-        """Waits for the scheduler's decision on a further attempt."""
+        """Waits for the placement decision for a retry."""
         return await self._dispatcher.place_again(ticket, failed)
 
     async def _set_rules(self, version: int, text: str) -> None:
         try:
             rules = await run_steps(parse_steps(text))
         except RuleError as exc:
-            # Without the current rules this router must not serve at all.
+            # A router without the current rules must not serve requests.
             log("rules_unreadable", version=version, faults=exc.faults)
             raise ControlError("refused", str(exc)) from exc
         self.rules = rules
