--- a/features/request_harness.py
+++ b/features/request_harness.py
@@ -1,4 +1,4 @@
-"""Gateway with a fake router, and endpoints, on loopback in one event loop."""
+"""Gateways with fake routers, and endpoints, on loopback in one event loop."""
 
 import contextlib
 import json
@@ -16,7 +16,7 @@
 from standins import serving
 from standins.fake_router import AUTHORIZATION, FakeRouter, endpoint_of
 
-# Longest time of one scenario; a hang then fails instead of blocking the run.
+# Time limit of one scenario; a hang fails it instead of blocking the run.
 SCENARIO_TIMEOUT_S = 20.0
 GRACEFUL_TIMEOUT_S = 0.2
 STOP_TIMEOUT_S = 2.0
@@ -24,13 +24,14 @@
 
 @attrs.define
 class Answer:
-    """What a caller got.
+    """Response that a caller received.
 
     Attributes:
         code: HTTP status.
-        text: Body, or the text of a stream.
-        done: Whether a stream had its end mark.
-        error: The error object, of a body or of an event.
+        text: Body, or the generated text of a chat response.
+        done: Whether a chat response is complete; for a stream, whether the
+            `[DONE]` marker arrived.
+        error: Error object of the body or of an event.
         body: Raw body.
     """
 
@@ -76,7 +77,7 @@
         return router
 
     async def add_runner(self, runner) -> Endpoint:
-        """Starts a stand-in runner and tells every router of it."""
+        """Starts a stand-in runner and adds it to every router."""
         runner.url = await self.serve(runner)
         self._runners.append(runner)
         endpoint = endpoint_of(runner)
@@ -85,7 +86,7 @@
         return endpoint
 
     async def add_desk(self, desk) -> Endpoint:
-        """Starts a stand-in service and tells every router of it."""
+        """Starts a stand-in service and adds it to every router."""
         desk.url = await self.serve(desk)
         endpoint = endpoint_of(desk)
         for router in self.routers:
@@ -93,14 +94,14 @@
         return endpoint
 
     async def add_raw_server(self, handler) -> str:
-        """Serves bare TCP connections; returns a base URL."""
+        """Serves plain TCP connections; returns a base URL."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self.group.start_soon(listener.serve, handler)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         return f"http://127.0.0.1:{port}"
 
     async def chat(self, router: int = 0, **fields) -> Answer:
-        """Sends a chat request and reads all of its answer."""
+        """Sends a chat request and reads the complete response."""
         body = chat_body(**fields)
         reply = await self.client.post(
             f"{self.urls[router]}/v1/chat/completions",
@@ -132,7 +133,7 @@
         return read_whole(reply)
 
     async def stop_router(self, number: int) -> None:
-        """Stops a router's server; running requests get `GRACEFUL_TIMEOUT_S`."""
+        """Stops a router's server after `GRACEFUL_TIMEOUT_S`."""
         self._stops[number].set()
 
     async def close(self) -> None:
@@ -148,7 +149,7 @@
 
 @contextlib.asynccontextmanager
 async def open_harness() -> AsyncIterator[GatewayHarness]:
-    """Opens a site and closes it with all of its connections."""
+    """Opens a harness; closes its connections and servers on exit."""
     error = None
     with anyio.fail_after(SCENARIO_TIMEOUT_S):
         async with anyio.create_task_group() as group:
@@ -157,8 +158,8 @@
             try:
                 yield harness
             except Exception as exc:
-                # Raised below: the group would cancel the servers, and
-                # hypercorn hides the error behind one of its own then.
+                # Raised below. Raised here it would cancel the servers, and
+                # hypercorn would then hide it behind an error of its own.
                 error = exc
             finally:
                 with anyio.CancelScope(shield=True):
@@ -185,7 +186,7 @@
 
 
 def read_events(content: bytes) -> Answer:
-    """Reads a whole stream as a caller does."""
+    """Parses a complete event stream as a caller does."""
     answer = Answer(200, body=content)
     for line in content.decode().splitlines():
         if line == "data: [DONE]":
@@ -200,7 +201,7 @@
 
 
 def read_whole(reply: httpx.Response) -> Answer:
-    """Reads an answer that is no stream."""
+    """Parses a response that is not an event stream."""
     answer = Answer(reply.status_code, reply.text, body=reply.content)
     with contextlib.suppress(ValueError):
         body = reply.json()
@@ -212,7 +213,7 @@
 
 
 def refused_port() -> str:
-    """Returns a base URL on which nothing listens."""
+    """Returns a base URL whose port refuses connections."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return serving.base_url(probe)
--- a/features/requests.feature
+++ b/features/requests.feature
@@ -3,9 +3,9 @@
   Background:
     Given 2 routers
 
-  # Guards against a resume that loses, doubles or mixes tokens.
+  # Guards against a resume that loses, repeats or mixes up tokens.
   Scenario Outline: A faulty runner does not show in the answer
-    Given a runner "a" that shows "<fault>" at token 5
+    Given a runner "a" with fault "<fault>" at token 5
     And a runner "b"
     When a caller asks for <kind> of 20 tokens
     Then the caller has the whole text of 20 tokens
@@ -24,18 +24,19 @@
       | break   | a whole answer | connection_closed  |
       | silent  | a whole answer | stream_silent      |
 
-  # Guards against a hit rate and a time to first token that nobody can see.
+  # Guards against metrics without the cache hit rate or the time to first
+  # token.
   Scenario: The first token and the prompt tokens are measured once
-    Given a runner "a" that shows "break" at token 5
+    Given a runner "a" with fault "break" at token 5
     And a runner "b"
     When a caller asks for a stream of 20 tokens
     Then one time to first token was measured
     And the prompt tokens of 2 attempts were counted
 
-  # Guards against faults that only show when streams share connections.
+  # Guards against faults that only occur when streams share connections.
   Scenario Outline: Streams side by side with random faults stay apart
     Given runners "a", "b" and "c"
-    When 40 callers stream side by side with faults of seed <seed>
+    When 40 callers stream concurrently with random faults from seed <seed>
     Then every stream is whole or ends in an explicit error
     And at least 20 streams are whole
 
@@ -45,21 +46,21 @@
       | 2    |
       | 3    |
 
-  # Guards against a broken stream that looks whole to its caller.
+  # Guards against an incomplete stream that looks complete to its caller.
   Scenario Outline: Without another runner the caller gets an explicit error
-    Given a runner "a" that shows "break" at token 5
+    Given a runner "a" with fault "break" at token 5
     When a caller asks for <kind> of 20 tokens
     Then the answer is an error "no_capacity" with outcome "run"
-    And the caller has <tokens> tokens and no end mark
+    And the caller has <tokens> tokens and no [DONE] marker
 
     Examples:
       | kind           | tokens |
       | a stream       | 5      |
       | a whole answer | 0      |
 
-  # Guards against a text that goes on with other weights.
+  # Guards against a text that is continued by other weights.
   Scenario: A stream is not resumed on other weights
-    Given a runner "a" that shows "break" at token 5
+    Given a runner "a" with fault "break" at token 5
     And a runner "b" with weights "w2"
     When a caller asks for a stream of 20 tokens
     Then the answer is an error "no_capacity" with outcome "run"
@@ -67,22 +68,22 @@
 
   # Guards against a queue or buffer that grows with a slow caller.
   Scenario: A caller that takes no data loses its stream
-    Given callers may take no data for 0.3 s
+    Given the write timeout is 0.3 s
     And a runner "a" that answers at once
     When a caller asks for 120000 tokens and reads none of them
-    Then runner "a" was told to cancel
+    Then runner "a" received a cancel request
     And runner "a" sent fewer than 60000 tokens
     And counter "refused.slow_caller" is 1
 
-  # Guards against runners that generate for nobody.
+  # Guards against runners that keep generating for a disconnected caller.
   Scenario: A caller that leaves cancels its attempt
     Given a runner "a" that takes 20 ms per token
     When a caller leaves after 3 tokens of 5000
-    Then runner "a" was told to cancel
+    Then runner "a" received a cancel request
     And counter "cancelled" is 1
-    And the scheduler was told of 1 cancelled attempt
+    And the scheduler recorded 1 cancelled attempt
 
-  # Guards against work that starts after the lease has expired.
+  # Guards against a request that is sent after the lease has expired.
   Scenario: A lease that expires before the send stops the send
     Given a runner "a"
     And the lease expires after 1 check
@@ -90,9 +91,9 @@
     Then the answer is an error "lease_expired" with outcome "not_run"
     And runner "a" ran 0 requests
 
-  # Guards against a planned stop that cuts requests accepted before it.
+  # Guards against a planned stop that fails requests accepted before it.
   Scenario: A request accepted before a planned stop is resumed during it
-    Given a runner "a" that shows "break" at token 5
+    Given a runner "a" with fault "break" at token 5
     And a runner "b"
     And the router stops after 1 check
     When a caller asks for a stream of 20 tokens
@@ -104,14 +105,14 @@
     When a caller asks for a stream of 20 tokens
     Then the answer is an error "stopping" with outcome "not_run"
 
-  # Guards against a false "not_run" and a false "unknown".
+  # Guards against an outcome "not_run" or "unknown" that is wrong.
   Scenario: A refused connection was not run
     Given a runner on a port that refuses connections
     When a caller asks for a stream of 20 tokens
     Then the answer is an error "no_capacity" with outcome "not_run"
 
   Scenario Outline: After bytes were written the outcome is unknown
-    Given a runner on a raw server that shows "<mode>"
+    Given a runner on a raw server in mode "<mode>"
     When a caller asks for a stream of 20 tokens
     Then the answer is an error "no_capacity" with outcome "unknown"
 
@@ -121,30 +122,31 @@
       | crossed          |
       | refusal_of_other |
 
-  # Guards against an answer to another attempt that passes for a mere break.
+  # Guards against an answer to another attempt that is counted as a closed
+  # connection.
   Scenario: A runner's answer to another attempt is counted as crossed
-    Given a runner on a raw server that shows "crossed"
+    Given a runner on a raw server in mode "crossed"
     When a caller asks for a stream of 20 tokens
     Then attempts failed once with "crossed_answer"
     And counter "crossed.dropped" is 1
 
   # Guards against a request that fails because an idle connection was closed.
   Scenario: A pooled connection closed under the request is retried
-    Given a desk on a raw server that shows "close_second"
+    Given a desk on a raw server in mode "close_second"
     When the caller checks availability 2 times
     Then each answer has status 200
     And attempts failed once with "connection_closed"
 
   # Guards against retries that multiply the load of a failing service.
   Scenario: Retries of a service stop when their budget is used up
-    Given a desk on a raw server that shows "close_first"
+    Given a desk on a raw server in mode "close_first"
     When the caller checks availability 40 times
     Then each answer is an error "endpoint_failed" with outcome "unknown"
     And the raw server got at most 55 requests
 
-  # Guards against an answer that reaches another caller.
+  # Guards against an answer that is delivered to another caller.
   Scenario: A crossed answer is dropped and its connection closed
-    Given a desk on a raw server that shows "crossed"
+    Given a desk on a raw server in mode "crossed"
     And a desk "d"
     When the caller checks availability 1 times
     Then each answer is from desk "d"
@@ -152,19 +154,19 @@
     And the raw server has 1 connections, closed by the router
 
   Scenario: A late answer on a kept connection is not the next answer
-    Given a desk on a raw server that shows "stray"
+    Given a desk on a raw server in mode "stray"
     When the caller checks availability 3 times
     Then each answer is the raw server's own
     And counter "crossed.dropped" is 2
     And the raw server has 3 connections, 2 of them closed by the router
 
   Scenario: An answer without a length is not taken for whole
-    Given a desk on a raw server that shows "no_length"
+    Given a desk on a raw server in mode "no_length"
     And a desk "d"
     When the caller checks availability 1 times
     Then each answer is from desk "d"
 
-  # Guards against a deposit that is taken twice or reported wrongly.
+  # Guards against a deposit that is run twice or reported wrongly.
   Scenario Outline: A resend gets the first answer
     Given a desk "d"
     And <commands>
@@ -182,7 +184,7 @@
       | 2      | the next 2 "Settle" fail    |
 
   Scenario Outline: A call whose answer is lost is unknown and not sent again
-    Given a desk "d" that shows "<fault>" at 1.5
+    Given a desk "d" with fault "<fault>" at 1.5
     And a desk "e"
     When the caller deposits with key "k" through router 1
     And the caller deposits with key "k" through router 2
@@ -211,9 +213,10 @@
     When the caller deposits with key "k" through router 1
     Then each answer has status 200
 
-  # A pooled connection may be closed by the desk at the moment of the send.
+  # Guards against an unknown outcome: the desk may close a pooled connection
+  # while the request is being sent.
   Scenario: A deposit uses no pooled connection
-    Given a desk on a raw server that shows "close_second"
+    Given a desk on a raw server in mode "close_second"
     When the caller checks availability 1 times
     And the caller deposits with key "k" through router 1
     Then each answer has status 200
@@ -227,15 +230,17 @@
     When the caller deposits with key "k" through router 2
     Then the last answer has status 200
 
-  # In the lapse the leader may have recorded the call as unknown.
+  # Guards against running a call that was reported unknown: the leader may have
+  # recorded it as unknown while the lease was expired.
   Scenario: A deposit reserved before a lapse of the lease is not sent after it
     Given a desk "d"
-    And the lease of router 1 lapses while a call is reserved
+    And the lease of router 1 expires and is renewed while a call is reserved
     When the caller deposits with key "k" through router 1
     Then the answer is an error "lease_expired" with outcome "not_run"
     And the desks ran key "k" 0 times
 
-  # A resend may come after the first call was run.
+  # Guards against a false "not_run": the key may belong to a call that has been
+  # run through another router.
   Scenario: Without a lease a deposit is not said to be not run
     Given a desk "d"
     When the caller deposits with key "k" through router 2
@@ -251,7 +256,7 @@
     And the desks ran key "k" 0 times
 
   Scenario: Deposits with one key at the same time run once
-    Given a desk "d" that shows "delay" at 0.2
+    Given a desk "d" with fault "delay" at 0.2
     When 6 deposits with key "k" go through both routers at once
     Then each answer has status 200
     And all answers are equal
@@ -265,21 +270,21 @@
     And the desks ran key "k" 0 times
 
   Scenario: A caller that leaves does not leave its deposit open
-    Given a desk "d" that shows "delay" at 0.3
+    Given a desk "d" with fault "delay" at 0.3
     When the caller leaves while its deposit with key "k" runs
     And the caller deposits with key "k" through router 2
     Then the last answer has status 200
     And the desks ran key "k" 1 times
 
   Scenario: A router that stops does not leave a deposit open
-    Given a desk "d" that shows "delay" at 0.6
+    Given a desk "d" with fault "delay" at 0.6
     When router 1 stops while its deposit with key "k" runs
     And the caller deposits with key "k" through router 2
     Then the last answer has status 200
     And the desks ran key "k" 1 times
 
   Scenario: An answer that is too large to record is an explicit outcome
-    Given a desk "d" that shows "big" at 100000
+    Given a desk "d" with fault "big" at 100000
     When the caller deposits with key "k" through router 1
     Then the last answer has status 200
     When the caller deposits with key "k" through router 2
@@ -309,7 +314,7 @@
       | /services/booking/a/../deposits| 404    | unknown_path |
       | /services/booking/%2e/deposits | 404    | unknown_path |
 
-  # Guards against a request without bound, and refusals without a reason.
+  # Guards against requests of unlimited size and errors without a reason.
   Scenario Outline: Malformed and forbidden requests are refused
     Given a runner "a"
     When a caller sends <what>
@@ -320,13 +325,13 @@
       | what                       | status | reason          |
       | no API key                 | 401    | unknown_key     |
       | an unknown model           | 404    | unknown_model   |
-      | a body that is no JSON     | 400    | bad_body        |
+      | a body that is not JSON    | 400    | bad_body        |
       | a deeply nested body       | 400    | bad_body        |
       | no messages                | 400    | bad_body        |
       | its own prefix_blocks      | 400    | bad_body        |
       | tools                      | 400    | bad_body        |
-      | a body over the bound      | 413    | body_too_large  |
-      | a chunked body over it     | 413    | body_too_large  |
+      | a body over the size limit | 413    | body_too_large  |
+      | an oversized chunked body  | 413    | body_too_large  |
       | a class above its own      | 403    | not_allowed     |
       | an unknown class           | 400    | bad_body        |
       | an unknown service         | 404    | unknown_service |
@@ -337,7 +342,7 @@
   Scenario: Bodies that a router holds together have a bound
     Given routers that hold at most 400 bytes of bodies
     And a runner "a" that takes 20 ms per token
-    When 9 callers ask together for a stream of 50 tokens
+    When 9 callers ask concurrently for a stream of 50 tokens
     Then at least 4 answers are "queue_full" with outcome "not_run"
     And the other answers are whole
     When a caller asks for a stream of 20 tokens
@@ -347,7 +352,7 @@
     When a caller adds a header of 100000 bytes
     Then the last answer has status 431
 
-  # Guards against endpoints that anybody can announce.
+  # Guards against announcements from unauthorised endpoints.
   Scenario Outline: Announcements are checked
     When an endpoint announces <what>
     Then the last answer has status <status>
@@ -359,14 +364,14 @@
       | a host name          | 400    |
       | no incarnation       | 400    |
 
-  # Guards against knowledge of blocks that a runner does not have.
+  # Guards against index entries for blocks that a runner no longer caches.
   Scenario: A gap in the feed ends the feed after the event that shows it
     Given a runner "a"
     When router 1 follows the feed of runner "a", which loses an event
     Then the feed ended with "stream_gap" after events 1, 2, 4
 
   Scenario: A silent feed ends
-    Given a runner on a raw server that shows "silent"
+    Given a runner on a raw server in mode "silent"
     When router 1 follows the feed of the raw server
     Then the feed ended with "stream_silent" after 1 load report
 
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -39,7 +39,7 @@
 from standins.faults import Fault
 from standins.runner import Runner, RunnerConfig
 
-# Longest time of one step; a hang then fails.
+# Time limit of one step; a hang then fails the scenario.
 STEP_TIMEOUT_S = 12.0
 POLL_INTERVAL_S = 0.005
 
@@ -55,10 +55,12 @@
 
 
 def wait_until(condition) -> None:
-    """Waits until a probe of the servers' state is true."""
+    """Waits until a condition on the servers' state is true."""
     deadline = time.monotonic() + STEP_TIMEOUT_S
     while not condition():
-        assert time.monotonic() < deadline, "the awaited state did not come"
+        assert time.monotonic() < deadline, (
+            "timed out waiting for the condition"
+        )
         time.sleep(POLL_INTERVAL_S)
 
 
@@ -92,7 +94,7 @@
     add_runner(context, name)
 
 
-@given('a runner "{name:w}" that shows "{fault:w}" at token {at:d}')
+@given('a runner "{name:w}" with fault "{fault:w}" at token {at:d}')
 def add_faulty_runner(context, name, fault, at):
     add_runner(context, name).faults.add(Fault(fault, at))
 
@@ -131,7 +133,7 @@
     add_endpoint(context, raw_endpoint(refused_port(), kind))
 
 
-@given('a {kind} on a raw server that shows "{mode}"')
+@given('a {kind} on a raw server in mode "{mode}"')
 def add_raw_endpoint(context, kind, mode):
     kind = {"runner": EndpointKind.RUNNER, "desk": EndpointKind.SERVICE}[kind]
     context.raw = RawServer(mode)
@@ -146,13 +148,13 @@
     run_async(context, context.harness.add_desk, desk)
 
 
-@given('a desk "{name:w}" that shows "{fault:w}" at {at:g}')
+@given('a desk "{name:w}" with fault "{fault:w}" at {at:g}')
 def add_faulty_desk(context, name, fault, at):
     add_plain_desk(context, name)
     context.desks[name].faults.add(Fault(fault, at))
 
 
-@given("callers may take no data for {limit:g} s")
+@given("the write timeout is {limit:g} s")
 def set_write_timeout(context, limit):
     previous, chats.WRITE_TIMEOUT_S = chats.WRITE_TIMEOUT_S, limit
     context.add_cleanup(setattr, chats, "WRITE_TIMEOUT_S", previous)
@@ -176,7 +178,10 @@
     router.refusal = RefusalReason.LEASE_EXPIRED
 
 
-@given("the lease of router {number:d} lapses while a call is reserved")
+@given(
+    "the lease of router {number:d} expires and is renewed while a call is"
+    " reserved"
+)
 def lapse_lease_at_check(context, number):
     context.harness.routers[number - 1].lapses_at_check = 1
 
@@ -194,7 +199,7 @@
 
 @given('another router has reserved key "{key:w}"')
 def reserve_key_elsewhere(context, key):
-    # The digest is that of the deposit that the scenario sends.
+    # The digest matches the deposit that the scenario sends.
     head = b"POST\0/deposits\0{}"
     name = record_key("counter", "booking", key)
     reserve = Reserve(name, sha256(head).digest(), "router-9/1", 0.0)
@@ -212,7 +217,7 @@
 
 
 async def send_raw(context, path: str, body: bytes):
-    """Sends a request on a bare connection; returns the connection."""
+    """Sends a request over a plain TCP connection, which it returns."""
     host, _, port = context.harness.urls[0][7:].partition(":")
     stream = await anyio.connect_tcp(host, int(port))
     await stream.send(
@@ -249,7 +254,10 @@
     router.rotate, router.retries_left = True, 1000
 
 
-@when("{callers:d} callers stream side by side with faults of seed {seed:d}")
+@when(
+    "{callers:d} callers stream concurrently with random faults from seed"
+    " {seed:d}"
+)
 def stream_with_random_faults(context, callers, seed):
     rng = random.Random(seed)
     modes = ("break", "gap", "repeat", "no_done", "crossed", "error", "refuse")
@@ -291,14 +299,14 @@
     assert context.raw.requests <= count, context.raw.requests
 
 
-@when("{others:d} callers ask together for a stream of {tokens:d} tokens")
-def send_concurrent_chats(context, others, tokens):
+@when("{callers:d} callers ask concurrently for a stream of {tokens:d} tokens")
+def send_concurrent_chats(context, callers, tokens):
     async def send_one() -> None:
         context.answers.append(await context.harness.chat(max_tokens=tokens))
 
     async def run() -> None:
         async with anyio.create_task_group() as group:
-            for _ in range(others):
+            for _ in range(callers):
                 group.start_soon(send_one)
 
     run_async(context, run)
@@ -401,7 +409,7 @@
 @when('a caller posts to "{path}" without a key')
 def post_without_key(context, path):
     async def run() -> Answer:
-        # httpx would resolve the dots before sending.
+        # httpx would normalise dot segments before sending.
         stream = await send_raw(context, path, b"{}")
         data = b""
         async with stream:
@@ -427,9 +435,9 @@
 }
 BAD_CONTENTS = {
     "no API key": b"{}",
-    "a body that is no JSON": b"{",
+    "a body that is not JSON": b"{",
     "a deeply nested body": b"[" * 100_000,
-    "a body over the bound": b"x" * OVERSIZED_BODY_BYTES,
+    "a body over the size limit": b"x" * OVERSIZED_BODY_BYTES,
 }
 BAD_HEADERS = {
     "no API key": {"authorization": "Bearer wrong"},
@@ -462,7 +470,7 @@
     content = BAD_CONTENTS.get(what)
     if content is None:
         content = json.dumps(BAD_CHATS.get(what, chat_body())).encode()
-    if what == "a chunked body over it":
+    if what == "an oversized chunked body":
         content = chunked_parts(OVERSIZED_BODY_BYTES)
     path = BAD_PATHS.get(what, "/v1/chat/completions")
     headers = {**AUTHORIZATION, **BAD_HEADERS.get(what, {})}
@@ -524,7 +532,7 @@
     feed = runner._feed
 
     def publish(item) -> None:
-        # After the snapshot (number 1), 2 is sent, 3 is lost.
+        # After the snapshot (number 1), event 2 is sent and event 3 is lost.
         if isinstance(item, CacheSnapshot):
             assert item.number == 1, item
             feed.publish("stored", (1,))
@@ -583,7 +591,7 @@
     assert answer.done and answer.error is None, answer
 
 
-@then("the caller has {tokens:d} tokens and no end mark")
+@then("the caller has {tokens:d} tokens and no [DONE] marker")
 def partial_text(context, tokens):
     answer = context.answers[-1]
     expected = texts.text(MESSAGES, "w1", 0, tokens)
@@ -682,8 +690,8 @@
     assert context.runners[name].counts["requests"] == count
 
 
-@then('runner "{name:w}" was told to cancel')
-def told_to_cancel(context, name):
+@then('runner "{name:w}" received a cancel request')
+def received_cancel(context, name):
     counts = context.runners[name].counts
     wait_until(lambda: counts["cancel_orders"] == 1)
     wait_until(lambda: context.runners[name].load("")["running"] == 0)
@@ -700,8 +708,8 @@
     wait_until(lambda: total_count(context, name) == value)
 
 
-@then("the scheduler was told of {count:d} cancelled attempt")
-def told_cancelled(context, count):
+@then("the scheduler recorded {count:d} cancelled attempt")
+def recorded_cancelled(context, count):
     results = context.harness.routers[0].scheduler.results
     assert sum(result.cancelled for _, result in results) == count, results
 
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -1,4 +1,4 @@
-"""Steps for streams."""
+"""Steps for the validation and the resume of token streams."""
 
 import json
 import random
@@ -29,7 +29,7 @@
 
 @attrs.define
 class Caller:
-    """What one caller got."""
+    """Response that one caller received."""
 
     text: str = ""
     whole: bool = False
@@ -52,7 +52,7 @@
 
 
 def faultless_events(rng, attempt_id: str, start: int, end: int) -> list[dict]:
-    """Builds the events of a faultless attempt, without the end mark."""
+    """Builds the events of a faultless attempt, without the `[DONE]` marker."""
     events, offset = [], start
     while offset < end:
         tokens = min(rng.randint(1, 4), end - offset)
@@ -64,7 +64,7 @@
 
 
 def faulty_events(rng, events: list[dict], fault: str) -> list:
-    """Applies a fault at a random place; `"DONE"` is the end mark."""
+    """Applies a fault at a random index; `"DONE"` is the `[DONE]` marker."""
     items = [*events, "DONE"]
     last = len(events) - 1
     index = rng.randrange(max(1, last))
@@ -121,7 +121,7 @@
 
 
 def split_randomly(rng, data: bytes, max_size: int) -> list[bytes]:
-    """Splits bytes at random places."""
+    """Splits bytes into parts of random size."""
     found = []
     while data:
         size = rng.randint(1, max_size)
@@ -131,7 +131,11 @@
 
 
 def relay_attempt(rng, state: StreamState, caller: Caller, data: bytes):
-    """Feeds one attempt's bytes; raises StreamFault as the router sees it."""
+    """Feeds the bytes of one attempt as the router does.
+
+    Raises:
+        StreamProtocolError: The router would end the attempt here.
+    """
     decoder = SseDecoder()
     for data_part in split_randomly(rng, data, 400):
         for item in decoder.feed(data_part):
@@ -146,7 +150,7 @@
 def relay_attempts(
     seed: int, tokens: int, faults: list[str], first_faultless: int
 ) -> Caller:
-    """Relays up to `MAX_ATTEMPTS`; those from `first_faultless` on have no fault."""
+    """Relays up to `MAX_ATTEMPTS`, without faults from `first_faultless` on."""
     rng = random.Random(seed)
     state, caller = StreamState(REQUEST_ID), Caller()
     for number in range(MAX_ATTEMPTS):
@@ -175,7 +179,7 @@
 
 @when('each seed relays attempts with the faults "{faults}"')
 def relay_with_faults(context, faults):
-    # The third attempt has no fault, so that a resume can be seen to work.
+    # The third attempt has no fault, so that a resume can succeed.
     context.callers = [
         relay_attempts(seed, context.tokens, faults.split(","), 2)
         for seed in context.seeds
@@ -190,7 +194,7 @@
     ]
 
 
-@when("the first attempt ends without the end mark")
+@when("the first attempt ends without the [DONE] marker")
 def relay_no_done(context):
     context.callers = [relay_attempts(1, context.tokens, ["no_done"], 1)]
 
@@ -220,7 +224,7 @@
     assert context.callers[0].resumed_at == [offset], context.callers
 
 
-@given("a stream whose text exceeds what is kept")
+@given("a stream whose text exceeds the resume limit")
 def long_stream(context):
     context.state = state = StreamState(REQUEST_ID)
     state.begin("router/1")
@@ -234,6 +238,6 @@
     assert not context.state.resumable
 
 
-@then("its kept text is within the bound")
+@then("its kept text is within the resume limit")
 def kept_bounded(context):
     assert len(context.state.text) <= MAX_RESUME_CHARS
