--- a/features/request_harness.py
+++ b/features/request_harness.py
@@ -109,10 +109,10 @@
             headers=AUTHORIZATION,
         )
         if "event-stream" in reply.headers.get("content-type", ""):
-            return read_events(reply.content)
-        return read_whole(reply)
+            return parse_event_stream(reply.content)
+        return parse_response(reply)
 
-    async def call(
+    async def call_service(
         self,
         path: str,
         key: str = "",
@@ -130,7 +130,7 @@
             content=body,
             headers=headers,
         )
-        return read_whole(reply)
+        return parse_response(reply)
 
     async def stop_router(self, number: int) -> None:
         """Stops a router's server after `GRACEFUL_TIMEOUT_S`."""
@@ -185,7 +185,7 @@
     return {**body, "stream": True, **fields}
 
 
-def read_events(content: bytes) -> Answer:
+def parse_event_stream(content: bytes) -> Answer:
     """Parses a complete event stream as a caller does."""
     answer = Answer(200, body=content)
     for line in content.decode().splitlines():
@@ -200,7 +200,7 @@
     return answer
 
 
-def read_whole(reply: httpx.Response) -> Answer:
+def parse_response(reply: httpx.Response) -> Answer:
     """Parses a response that is not an event stream."""
     answer = Answer(reply.status_code, reply.text, body=reply.content)
     with contextlib.suppress(ValueError):
@@ -212,7 +212,7 @@
     return answer
 
 
-def refused_port() -> str:
+def refusing_url() -> str:
     """Returns a base URL whose port refuses connections."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -17,8 +17,8 @@
     Answer,
     chat_body,
     open_harness,
-    read_whole,
-    refused_port,
+    parse_response,
+    refusing_url,
 )
 from knapweedarch import chats
 from knapweedarch.adapters import LoadWeights
@@ -130,7 +130,7 @@
 @given("a {kind} on a port that refuses connections")
 def add_refusing_endpoint(context, kind):
     kind = {"runner": EndpointKind.RUNNER, "desk": EndpointKind.SERVICE}[kind]
-    add_endpoint(context, raw_endpoint(refused_port(), kind))
+    add_endpoint(context, raw_endpoint(refusing_url(), kind))
 
 
 @given('a {kind} on a raw server in mode "{mode}"')
@@ -281,7 +281,7 @@
 
 
 @then("every stream is whole or ends in an explicit error")
-def streams_whole_or_error(context):
+def check_streams_whole_or_error(context):
     for answer, whole in context.answers:
         text = answer.text if answer.code == 200 else ""
         assert whole.startswith(text), answer
@@ -346,7 +346,12 @@
 
 def send_deposit(context, key: str, number: int, body: bytes = b"{}") -> None:
     answer = run_async(
-        context, context.harness.call, "booking/deposits", key, body, number - 1
+        context,
+        context.harness.call_service,
+        "booking/deposits",
+        key,
+        body,
+        number - 1,
     )
     context.answers.append(answer)
 
@@ -365,7 +370,9 @@
 def send_concurrent_deposits(context, count, key):
     async def send_one(number: int) -> None:
         harness = context.harness
-        answer = await harness.call("booking/deposits", key, router=number % 2)
+        answer = await harness.call_service(
+            "booking/deposits", key, router=number % 2
+        )
         context.answers.append(answer)
 
     async def run() -> None:
@@ -379,7 +386,7 @@
 @when('the caller leaves while its deposit with key "{key:w}" runs')
 def disconnect_during_deposit(context, key):
     running = context.portal.start_task_soon(
-        context.harness.call, "booking/deposits", key
+        context.harness.call_service, "booking/deposits", key
     )
     wait_until(lambda: any(d.runs[key] for d in context.desks.values()))
     running.cancel()
@@ -387,11 +394,11 @@
 
 @when('router 1 stops while its deposit with key "{key:w}" runs')
 def stop_router_during_deposit(context, key):
-    async def cut_off() -> None:
+    async def send_ignoring_errors() -> None:
         with contextlib.suppress(httpx.HTTPError):
-            await context.harness.call("booking/deposits", key)
+            await context.harness.call_service("booking/deposits", key)
 
-    running = context.portal.start_task_soon(cut_off)
+    running = context.portal.start_task_soon(send_ignoring_errors)
     wait_until(lambda: any(d.runs[key] for d in context.desks.values()))
     run_async(context, context.harness.stop_router, 0)
     running.result(STEP_TIMEOUT_S)
@@ -400,7 +407,9 @@
 @when("the caller checks availability {times:d} times")
 def check_availability(context, times):
     async def send_one() -> Answer:
-        return await context.harness.call("booking/availability", method="GET")
+        return await context.harness.call_service(
+            "booking/availability", method="GET"
+        )
 
     for _ in range(times):
         context.answers.append(run_async(context, send_one))
@@ -416,7 +425,7 @@
             while b"}}" not in data:
                 data += await stream.receive()
         head, _, body = data.partition(b"\r\n\r\n")
-        return read_whole(httpx.Response(int(head[9:12]), content=body))
+        return parse_response(httpx.Response(int(head[9:12]), content=body))
 
     context.answers.append(run_async(context, run))
 
@@ -460,7 +469,7 @@
             f"{context.harness.urls[0]}/v1/models",
             headers={"x-long": "x" * size},
         )
-        return read_whole(reply)
+        return parse_response(reply)
 
     context.answers.append(run_async(context, run))
 
@@ -480,7 +489,7 @@
         reply = await context.harness.client.post(
             context.harness.urls[0] + path, content=content, headers=headers
         )
-        return read_whole(reply)
+        return parse_response(reply)
 
     context.answers.append(run_async(context, run))
 
@@ -504,7 +513,7 @@
             json=body,
             headers={"authorization": f"Bearer {credential}"},
         )
-        return read_whole(reply)
+        return parse_response(reply)
 
     context.answers.append(run_async(context, run))
     announced = context.harness.routers[0].announced
@@ -549,7 +558,7 @@
 
 
 @then('the feed ended with "{reason}" after events {numbers}')
-def feed_ended(context, reason, numbers):
+def check_feed_end(context, reason, numbers):
     kinds = CacheEvent | CacheSnapshot
     got = [i.number for i in context.items if isinstance(i, kinds)]
     assert got == [int(number) for number in numbers.split(",")], got
@@ -557,7 +566,7 @@
 
 
 @then('the feed ended with "{reason}" after {count:d} load report')
-def feed_silent(context, reason, count):
+def check_silent_feed(context, reason, count):
     assert [type(i) for i in context.items] == [LoadReport] * count
     assert context.feed_error == reason, context.feed_error
 
@@ -580,19 +589,19 @@
 
 
 @then('runner "{name:w}" has weights "{version}"')
-def has_weights(context, name, version):
+def check_weights(context, name, version):
     assert context.runners[name].version == version
 
 
 @then("the caller has the whole text of {tokens:d} tokens")
-def whole_text(context, tokens):
+def check_complete_text(context, tokens):
     answer = context.answers[-1]
     assert answer.text == texts.text(MESSAGES, "w1", 0, tokens), answer
     assert answer.done and answer.error is None, answer
 
 
 @then("the caller has {tokens:d} tokens and no [DONE] marker")
-def partial_text(context, tokens):
+def check_partial_text(context, tokens):
     answer = context.answers[-1]
     expected = texts.text(MESSAGES, "w1", 0, tokens)
     text = "" if answer.code != 200 else answer.text
@@ -600,19 +609,19 @@
 
 
 @then('attempts failed once with "{reason}"')
-def failed_once(context, reason):
+def check_failed_once(context, reason):
     assert total_count(context, f"retried.{reason}") == 1, [
         router.counts for router in context.harness.routers
     ]
 
 
 @then('the answer is an error "{reason}" with outcome "{outcome}"')
-def is_error(context, reason, outcome):
+def check_last_error(context, reason, outcome):
     check_error(context.answers[-1], reason, outcome)
 
 
 @then('each answer is an error "{reason}" with outcome "{outcome}"')
-def each_error(context, reason, outcome):
+def check_each_error(context, reason, outcome):
     for answer in context.answers:
         check_error(answer, reason, outcome)
 
@@ -624,38 +633,38 @@
 
 
 @then('the answer has status {status:d} and reason "{reason}"')
-def has_reason(context, status, reason):
+def check_reason(context, status, reason):
     answer = context.answers[-1]
     assert answer.code == status, answer
     assert answer.error["reason"] == reason, answer
 
 
 @then("each answer has status {status:d}")
-def each_status(context, status):
+def check_each_status(context, status):
     assert context.answers
     assert all(a.code == status for a in context.answers), context.answers
 
 
 @then("the last answer has status {status:d}")
-def last_status(context, status):
+def check_last_status(context, status):
     assert context.answers[-1].code == status, context.answers[-1]
 
 
 @then("both answers are equal")
 @then("all answers are equal")
-def equal_answers(context):
+def check_equal_answers(context):
     assert len(context.answers) > 1
     assert len({a.body for a in context.answers}) == 1, context.answers
 
 
 @then('each answer is from desk "{name:w}"')
-def from_desk(context, name):
+def check_from_desk(context, name):
     for answer in context.answers:
         assert json.loads(answer.body) == {"free": 3}, answer
 
 
 @then("each answer is the raw server's own")
-def from_raw(context):
+def check_from_raw_server(context):
     assert all(a.body == OK_BODY for a in context.answers), context.answers
 
 
@@ -663,65 +672,65 @@
     "the raw server has {count:d} connections, {closed:d} of them closed by"
     " the router"
 )
-def raw_some_closed(context, count, closed):
+def check_some_raw_connections_closed(context, count, closed):
     wait_until(lambda: context.raw.closed == closed)
     assert context.raw.connections == count, context.raw
 
 
 @then("the raw server has {count:d} connections, closed by the router")
-def raw_closed(context, count):
+def check_raw_connections_closed(context, count):
     wait_until(lambda: context.raw.closed == count)
     assert context.raw.connections == count, context.raw
 
 
 @then('the desks ran key "{key:w}" {times:d} times')
-def desks_ran(context, key, times):
+def check_desk_runs(context, key, times):
     runs = sum(desk.runs[key] for desk in context.desks.values())
     assert runs == times, runs
 
 
 @then("the desks ran no call")
-def desks_idle(context):
+def check_no_desk_runs(context):
     assert not any(desk.runs.total() for desk in context.desks.values())
 
 
 @then('runner "{name:w}" ran {count:d} requests')
-def runner_ran(context, name, count):
+def check_runner_requests(context, name, count):
     assert context.runners[name].counts["requests"] == count
 
 
 @then('runner "{name:w}" received a cancel request')
-def received_cancel(context, name):
+def check_cancel_received(context, name):
     counts = context.runners[name].counts
     wait_until(lambda: counts["cancel_orders"] == 1)
     wait_until(lambda: context.runners[name].load("")["running"] == 0)
 
 
 @then('runner "{name:w}" sent fewer than {count:d} tokens')
-def sent_fewer(context, name, count):
+def check_tokens_sent(context, name, count):
     sent = context.runners[name].counts["tokens"]
     assert sent < count, sent
 
 
 @then('counter "{name}" is {value:d}')
-def counter_is(context, name, value):
+def check_counter(context, name, value):
     wait_until(lambda: total_count(context, name) == value)
 
 
 @then("the scheduler recorded {count:d} cancelled attempt")
-def recorded_cancelled(context, count):
+def check_cancelled_attempts(context, count):
     results = context.harness.routers[0].scheduler.results
     assert sum(result.cancelled for _, result in results) == count, results
 
 
 @then("one time to first token was measured")
-def first_token_measured(context):
+def check_first_token_time(context):
     timings = context.harness.routers[0].timings["first_token"]
     assert len(timings) == 1 and timings[0] > 0, timings
 
 
 @then("the prompt tokens of {count:d} attempts were counted")
-def prompt_tokens_counted(context, count):
+def check_prompt_tokens(context, count):
     router = context.harness.routers[0]
     results = router.scheduler.results
     prompt = sum(attempt.ticket.prompt_tokens for attempt, _ in results)
