--- a/features/request_harness.py
+++ b/features/request_harness.py
@@ -1,4 +1,4 @@
-"""Gateway with a fake router, and endpoints, on loopback in one event loop."""
+"""Gateways with fake routers, and endpoints, on loopback in one event loop."""
 
 import contextlib
 import json
@@ -10,27 +10,28 @@
 import attrs
 import httpx
 
-from knapweedarch.gateway import Gateway, create_app, tune_listener
+from knapweedarch.gateway import Gateway, configure_listener, create_app
 from knapweedarch.models import Endpoint
 from knapweedarch.state import ControlState
 from standins import serving
 from standins.fake_router import AUTHORIZATION, FakeRouter, endpoint_of
 
-# Longest time of one scenario; a hang then fails instead of blocking the run.
-SCENARIO_S = 20.0
-GRACEFUL_S = 0.2
-STOP_S = 2.0
+# Time limit of one scenario; a hang fails it instead of blocking the run.
+SCENARIO_TIMEOUT_S = 20.0
+GRACEFUL_TIMEOUT_S = 0.2
+STOP_TIMEOUT_S = 2.0
 
 
 @attrs.define
 class Answer:
-    """What a caller got.
+    """Response that a caller received.
 
     Attributes:
         code: HTTP status.
-        text: Body, or the text of a stream.
-        done: Whether a stream had its end mark.
-        error: The error object, of a body or of an event.
+        text: Body, or the generated text of a chat response.
+        done: Whether a chat response is complete; for a stream, whether the
+            `[DONE]` marker arrived.
+        error: Error object of the body or of an event.
         body: Raw body.
     """
 
@@ -41,8 +42,8 @@
     body: bytes = attrs.field(default=b"", repr=False)
 
 
-class Site:
-    """Servers on loopback and a client; create it with `open_site`."""
+class GatewayHarness:
+    """Servers on loopback and a client; create it with `open_harness`."""
 
     def __init__(self, group, client: httpx.AsyncClient):
         self.group = group
@@ -57,13 +58,13 @@
     async def serve(self, app: object) -> str:
         """Serves an ASGI application; returns its base URL."""
         listener = serving.open_listener("127.0.0.1", 0)
-        tune_listener(listener)
+        configure_listener(listener)
         listener.listen(128)
         stop = anyio.Event()
         self._stops.append(stop)
         url = serving.base_url(listener)
         self.group.start_soon(
-            serving.serve_app, app, listener, stop, GRACEFUL_S
+            serving.serve_app, app, listener, stop, GRACEFUL_TIMEOUT_S
         )
         return url
 
@@ -76,7 +77,7 @@
         return router
 
     async def add_runner(self, runner) -> Endpoint:
-        """Starts a stand-in runner and tells every router of it."""
+        """Starts a stand-in runner and adds it to every router."""
         runner.url = await self.serve(runner)
         self._runners.append(runner)
         endpoint = endpoint_of(runner)
@@ -85,7 +86,7 @@
         return endpoint
 
     async def add_desk(self, desk) -> Endpoint:
-        """Starts a stand-in service and tells every router of it."""
+        """Starts a stand-in service and adds it to every router."""
         desk.url = await self.serve(desk)
         endpoint = endpoint_of(desk)
         for router in self.routers:
@@ -93,14 +94,14 @@
         return endpoint
 
     async def add_raw_server(self, handler) -> str:
-        """Serves bare TCP connections; returns a base URL."""
+        """Serves plain TCP connections; returns a base URL."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self.group.start_soon(listener.serve, handler)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         return f"http://127.0.0.1:{port}"
 
     async def chat(self, router: int = 0, **fields) -> Answer:
-        """Sends a chat request and reads all of its answer."""
+        """Sends a chat request and reads the complete response."""
         body = chat_body(**fields)
         reply = await self.client.post(
             f"{self.urls[router]}/v1/chat/completions",
@@ -108,10 +109,10 @@
             headers=AUTHORIZATION,
         )
         if "event-stream" in reply.headers.get("content-type", ""):
-            return read_events(reply.content)
-        return read_whole(reply)
+            return parse_event_stream(reply.content)
+        return parse_response(reply)
 
-    async def call(
+    async def call_service(
         self,
         path: str,
         key: str = "",
@@ -129,10 +130,10 @@
             content=body,
             headers=headers,
         )
-        return read_whole(reply)
+        return parse_response(reply)
 
     async def stop_router(self, number: int) -> None:
-        """Stops a router's server; running requests get `GRACEFUL_S`."""
+        """Stops a router's server after `GRACEFUL_TIMEOUT_S`."""
         self._stops[number].set()
 
     async def close(self) -> None:
@@ -147,23 +148,25 @@
 
 
 @contextlib.asynccontextmanager
-async def open_site() -> AsyncIterator[Site]:
-    """Opens a site and closes it with all of its connections."""
+async def open_harness() -> AsyncIterator[GatewayHarness]:
+    """Opens a harness; closes its connections and servers on exit."""
     error = None
-    with anyio.fail_after(SCENARIO_S):
+    with anyio.fail_after(SCENARIO_TIMEOUT_S):
         async with anyio.create_task_group() as group:
             client = httpx.AsyncClient(trust_env=False, timeout=15)
-            site = Site(group, client)
+            harness = GatewayHarness(group, client)
             try:
-                yield site
+                yield harness
             except Exception as exc:
-                # Raised below: the group would cancel the servers, and
-                # hypercorn hides the error behind one of its own then.
+                # Raised below. Raised here it would cancel the servers, and
+                # hypercorn would then hide it behind an error of its own.
                 error = exc
             finally:
                 with anyio.CancelScope(shield=True):
-                    await site.close()
-                group.cancel_scope.deadline = anyio.current_time() + STOP_S
+                    await harness.close()
+                group.cancel_scope.deadline = (
+                    anyio.current_time() + STOP_TIMEOUT_S
+                )
     if error is not None:
         raise error
 
@@ -182,8 +185,8 @@
     return {**body, "stream": True, **fields}
 
 
-def read_events(content: bytes) -> Answer:
-    """Reads a whole stream as a caller does."""
+def parse_event_stream(content: bytes) -> Answer:
+    """Parses a complete event stream as a caller does."""
     answer = Answer(200, body=content)
     for line in content.decode().splitlines():
         if line == "data: [DONE]":
@@ -197,8 +200,8 @@
     return answer
 
 
-def read_whole(reply: httpx.Response) -> Answer:
-    """Reads an answer that is no stream."""
+def parse_response(reply: httpx.Response) -> Answer:
+    """Parses a response that is not an event stream."""
     answer = Answer(reply.status_code, reply.text, body=reply.content)
     with contextlib.suppress(ValueError):
         body = reply.json()
@@ -209,8 +212,8 @@
     return answer
 
 
-def refused_port() -> str:
-    """Returns a base URL on which nothing listens."""
+def refusing_url() -> str:
+    """Returns a base URL whose port refuses connections."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return serving.base_url(probe)
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -1,4 +1,4 @@
-"""Steps for streams."""
+"""Steps for the validation and the resume of token streams."""
 
 import json
 import random
@@ -10,7 +10,7 @@
     MAX_RESUME_CHARS,
     Chunk,
     SseDecoder,
-    StreamFault,
+    StreamProtocolError,
     StreamState,
     parse_event,
 )
@@ -19,17 +19,17 @@
 MAX_ATTEMPTS = 4
 
 
-def token(offset: int) -> str:
+def token_text(offset: int) -> str:
     return f"t{offset} "
 
 
 def whole_text(tokens: int) -> str:
-    return "".join(token(offset) for offset in range(tokens))
+    return "".join(token_text(offset) for offset in range(tokens))
 
 
 @attrs.define
 class Caller:
-    """What one caller got."""
+    """Response that one caller received."""
 
     text: str = ""
     whole: bool = False
@@ -38,8 +38,8 @@
     resumed_at: list[int] = attrs.field(factory=list)
 
 
-def event(attempt_id: str, offset: int, tokens: int, **fields) -> dict:
-    text = "".join(token(o) for o in range(offset, offset + tokens))
+def token_event(attempt_id: str, offset: int, tokens: int, **fields) -> dict:
+    text = "".join(token_text(o) for o in range(offset, offset + tokens))
     choice = {"delta": {"content": text}, "finish_reason": None}
     return {
         "request_id": REQUEST_ID,
@@ -51,42 +51,44 @@
     }
 
 
-def clean_events(rng, attempt_id: str, start: int, end: int) -> list[dict]:
-    """Builds the events of a faultless attempt, without the end mark."""
+def faultless_events(rng, attempt_id: str, start: int, end: int) -> list[dict]:
+    """Builds the events of a faultless attempt, without the `[DONE]` marker."""
     events, offset = [], start
     while offset < end:
         tokens = min(rng.randint(1, 4), end - offset)
-        events.append(event(attempt_id, offset, tokens))
+        events.append(token_event(attempt_id, offset, tokens))
         offset += tokens
-    finish = event(attempt_id, end, 0, usage={"completion_tokens": end})
+    finish = token_event(attempt_id, end, 0, usage={"completion_tokens": end})
     finish["choices"] = [{"delta": {}, "finish_reason": "stop"}]
     return [*events, finish]
 
 
 def faulty_events(rng, events: list[dict], fault: str) -> list:
-    """Applies a fault at a random place; `"DONE"` is the end mark."""
+    """Applies a fault at a random index; `"DONE"` is the `[DONE]` marker."""
     items = [*events, "DONE"]
     last = len(events) - 1
-    place = rng.randrange(max(1, last))
+    index = rng.randrange(max(1, last))
     match fault:
         case "break":
-            return items[:place]
+            return items[:index]
         case "repeat":
-            return [*items[: place + 1], *items[place:]]
+            return [*items[: index + 1], *items[index:]]
         case "gap":
-            return items[:place] + items[place + 1 :]
+            return items[:index] + items[index + 1 :]
         case "swap" if last > 1:
-            place = min(place, last - 2)
-            pair = [items[place + 1], items[place]]
-            return items[:place] + pair + items[place + 2 :]
+            index = min(index, last - 2)
+            pair = [items[index + 1], items[index]]
+            return items[:index] + pair + items[index + 2 :]
         case "no_finish":
             return items[:last]
         case "no_done":
             return items[:-1]
         case "early_done":
-            return [*items[:place], "DONE"]
+            return [*items[:index], "DONE"]
         case "late_token":
-            late = event(events[0]["attempt_id"], events[last]["offset"], 1)
+            late = token_event(
+                events[0]["attempt_id"], events[last]["offset"], 1
+            )
             return [*items[:-1], late, "DONE"]
         case "wrong_usage":
             wrong = {"completion_tokens": events[last]["offset"] + 1}
@@ -95,13 +97,13 @@
             foreign = [
                 {"delta": {"content": "foreign "}, "finish_reason": None}
             ]
-            crossed = {**items[place], "choices": foreign}
+            crossed = {**items[index], "choices": foreign}
             crossed["attempt_id"] = "other/9"
-            return [*items[:place], crossed, *items[place + 1 :]]
+            return [*items[:index], crossed, *items[index + 1 :]]
         case "error":
-            return [*items[:place], {"error": {"reason": "engine"}}]
+            return [*items[:index], {"error": {"reason": "engine"}}]
         case "garbage":
-            return [*items[:place], "garbage", *items[place:]]
+            return [*items[:index], "garbage", *items[index:]]
     return items
 
 
@@ -118,21 +120,25 @@
     return b"".join(lines)
 
 
-def pieces(rng, data: bytes, most: int) -> list[bytes]:
-    """Splits bytes at random places."""
+def split_randomly(rng, data: bytes, max_size: int) -> list[bytes]:
+    """Splits bytes into parts of random size."""
     found = []
     while data:
-        size = rng.randint(1, most)
+        size = rng.randint(1, max_size)
         found.append(data[:size])
         data = data[size:]
     return found
 
 
 def relay_attempt(rng, state: StreamState, caller: Caller, data: bytes):
-    """Feeds one attempt's bytes; raises StreamFault as the router sees it."""
+    """Feeds the bytes of one attempt as the router does.
+
+    Raises:
+        StreamProtocolError: The router would end the attempt here.
+    """
     decoder = SseDecoder()
-    for piece in pieces(rng, data, 400):
-        for item in decoder.feed(piece):
+    for data_part in split_randomly(rng, data, 400):
+        for item in decoder.feed(data_part):
             parsed = parse_event(item)
             if state.accept(parsed):
                 caller.text += parsed.text
@@ -141,8 +147,10 @@
     state.end()
 
 
-def relay(seed: int, tokens: int, faults: list[str], healthy: int) -> Caller:
-    """Relays up to `MAX_ATTEMPTS`; those from `healthy` on have no fault."""
+def relay_attempts(
+    seed: int, tokens: int, faults: list[str], first_faultless: int
+) -> Caller:
+    """Relays up to `MAX_ATTEMPTS`, without faults from `first_faultless` on."""
     rng = random.Random(seed)
     state, caller = StreamState(REQUEST_ID), Caller()
     for number in range(MAX_ATTEMPTS):
@@ -151,12 +159,12 @@
         caller.attempts += 1
         if state.started:
             caller.resumed_at.append(state.offset)
-        fault = rng.choice(faults) if number < healthy else ""
-        events = clean_events(rng, attempt_id, state.offset, tokens)
+        fault = rng.choice(faults) if number < first_faultless else ""
+        events = faultless_events(rng, attempt_id, state.offset, tokens)
         data = encode(faulty_events(rng, events, fault))
         try:
             relay_attempt(rng, state, caller, data)
-        except StreamFault:
+        except StreamProtocolError:
             continue
         caller.whole = True
         return caller
@@ -170,10 +178,10 @@
 
 
 @when('each seed relays attempts with the faults "{faults}"')
-def relay_faults(context, faults):
-    # The third attempt has no fault, so that a resume can be seen to work.
+def relay_with_faults(context, faults):
+    # The third attempt has no fault, so that a resume can succeed.
     context.callers = [
-        relay(seed, context.tokens, faults.split(","), 2)
+        relay_attempts(seed, context.tokens, faults.split(","), 2)
         for seed in context.seeds
     ]
 
@@ -181,14 +189,14 @@
 @when("each seed relays attempts that all break")
 def relay_all_break(context):
     context.callers = [
-        relay(seed, context.tokens, ["break"], MAX_ATTEMPTS)
+        relay_attempts(seed, context.tokens, ["break"], MAX_ATTEMPTS)
         for seed in context.seeds
     ]
 
 
-@when("the first attempt ends without the end mark")
+@when("the first attempt ends without the [DONE] marker")
 def relay_no_done(context):
-    context.callers = [relay(1, context.tokens, ["no_done"], 1)]
+    context.callers = [relay_attempts(1, context.tokens, ["no_done"], 1)]
 
 
 @then("every caller has a whole text or an explicit error")
@@ -216,7 +224,7 @@
     assert context.callers[0].resumed_at == [offset], context.callers
 
 
-@given("a stream whose text exceeds what is kept")
+@given("a stream whose text exceeds the resume limit")
 def long_stream(context):
     context.state = state = StreamState(REQUEST_ID)
     state.begin("router/1")
@@ -230,6 +238,6 @@
     assert not context.state.resumable
 
 
-@then("its kept text is within the bound")
+@then("its kept text is within the resume limit")
 def kept_bounded(context):
     assert len(context.state.text) <= MAX_RESUME_CHARS
--- a/knapweedarch/adapters.py
+++ b/knapweedarch/adapters.py
@@ -34,7 +34,7 @@
 from knapweedarch.orders import ORDER_TIMEOUT_S
 from knapweedarch.streams import (
     SseDecoder,
-    StreamFault,
+    StreamProtocolError,
 )
 from knapweedarch.timers import Clock, ManualClock
 from knapweedarch.transports import CONNECT_S, EndpointTransport
@@ -138,7 +138,7 @@
             waited = self._clock.now() - started
             stream = ChatStream(exchange, max(0.0, first_event_s - waited))
             yield stream
-            await stream.finish_body()
+            await stream.drain_body()
 
     async def call_service(
         self,
@@ -347,7 +347,12 @@
                 raise exchange.failed(
                     RetryReason.CONNECTION_CLOSED, repr(exc)
                 ) from exc
-            except (ValueError, KeyError, TypeError, StreamFault) as exc:
+            except (
+                ValueError,
+                KeyError,
+                TypeError,
+                StreamProtocolError,
+            ) as exc:
                 raise exchange.failed(
                     RetryReason.ENDPOINT_ERROR, f"unreadable feed: {exc!r}"
                 ) from exc
--- a/knapweedarch/chats.py
+++ b/knapweedarch/chats.py
@@ -1,4 +1,4 @@
-"""Chat requests: attempts at runners, resumes, and the caller's answer."""
+"""Runs chat requests: attempts at runners, resumes, and the response."""
 
 import contextlib
 import json
@@ -8,17 +8,17 @@
 import anyio.lowlevel
 import attrs
 
-from knapweedarch.background import Background
+from knapweedarch.background import BackgroundTasks
 from knapweedarch.callers import (
-    WRITE_S,
+    WRITE_TIMEOUT_S,
     Call,
     CallerGoneError,
     RefusedError,
     SlowCallerError,
-    may_send,
+    send_refusal,
 )
 from knapweedarch.chat_requests import ChatRequest, parse_chat, prompt_bytes
-from knapweedarch.chat_streams import STREAM_SILENCE_S, ChatStream
+from knapweedarch.chat_streams import STREAM_IDLE_TIMEOUT_S, ChatStream
 from knapweedarch.exceptions import EndpointError, KnapweedarchError
 from knapweedarch.exchanges import SendRefusedError
 from knapweedarch.models import (
@@ -38,15 +38,17 @@
     hash_steps,
     make_salt,
 )
-from knapweedarch.sinks import EventSink, Sink, WholeSink
-from knapweedarch.streams import Chunk, Finish, StreamFault, StreamState
+from knapweedarch.sinks import BufferedSink, EventSink, Sink
+from knapweedarch.streams import Chunk, Finish, StreamProtocolError, StreamState
 from knapweedarch.watchdogs import Step, Watchdog
 
 if TYPE_CHECKING:
     from knapweedarch.gateway import RouterPort
 
-NO_NEW_WORK = "this router starts no new work now"
-# A runner answers these before it runs anything.
+SEND_REFUSED_MESSAGE = (
+    "the router is not sending requests to runners at the moment"
+)
+# A runner returns these errors before it starts to process a request.
 NOT_RUN_REASONS = frozenset(
     {
         RetryReason.WRONG_INCARNATION,
@@ -59,39 +61,41 @@
 class ChatHandler:
     """Handles `POST /v1/chat/completions`."""
 
-    def __init__(self, router: "RouterPort", background: Background):
+    def __init__(self, router: "RouterPort", background: BackgroundTasks):
         self._router = router
         self._background = background
 
     async def handle(
         self, call: Call, customer: CustomerRule, request_id: str
     ) -> None:
-        """Answers one request.
+        """Handles one request and sends the response.
 
         Raises:
-            RefusedError: Nothing was sent to the caller yet.
-            CallerGoneError: The caller left.
-            SlowCallerError: The caller takes no data.
+            RefusedError: The request failed before the response was started.
+            CallerGoneError: The caller closed the connection.
+            SlowCallerError: A write to the caller timed out.
         """
         router = self._router
-        if reason := router.may_start():
-            raise RefusedError(reason, NO_NEW_WORK)
+        if reason := router.start_refusal():
+            raise RefusedError(reason, SEND_REFUSED_MESSAGE)
         data = await call.read_body(router.max_body_bytes)
         arrived = router.clock.now()
         request = parse_chat(data, call, customer, router.rules)
-        ticket = await self._ticket(request, customer, request_id, arrived)
+        ticket = await self._create_ticket(
+            request, customer, request_id, arrived
+        )
         sink: Sink = EventSink(call, request_id)
         if not request.stream:
-            sink = WholeSink(call, request_id, request.rule.name)
+            sink = BufferedSink(call, request_id, request.rule.name)
         run = ChatRun(router, self._background, request, ticket, sink)
-        gone = False
+        caller_disconnected = False
         failure: Exception | None = None
         async with anyio.create_task_group() as group:
 
             async def watch() -> None:
-                nonlocal gone
-                await call.wait_gone()
-                gone = True
+                nonlocal caller_disconnected
+                await call.wait_for_disconnect()
+                caller_disconnected = True
                 group.cancel_scope.cancel()
 
             group.start_soon(watch)
@@ -99,15 +103,16 @@
             try:
                 await run.run()
             except (RefusedError, SlowCallerError) as exc:
-                # Raised outside the group, which would wrap it.
+                # Raised outside the task group, which would wrap it in an
+                # exception group.
                 failure = exc
             group.cancel_scope.cancel()
-        if gone and not run.ended:
-            raise CallerGoneError("the caller left")
+        if caller_disconnected and not run.ended:
+            raise CallerGoneError("the caller closed the connection")
         if failure is not None:
             raise failure
 
-    async def _ticket(
+    async def _create_ticket(
         self,
         request: ChatRequest,
         customer: CustomerRule,
@@ -130,17 +135,17 @@
 
 
 class ChatRun:
-    """The attempts of one request.
+    """Runs one request: the first attempt and its retries.
 
     Attributes:
-        watchdog: Must run beside `run`.
-        ended: Whether the end of the answer is on its way to the caller.
+        watchdog: Its `run` must run concurrently with `run` of this class.
+        ended: Whether the end of the response is being sent to the caller.
     """
 
     def __init__(
         self,
         router: "RouterPort",
-        background: Background,
+        background: BackgroundTasks,
         request: ChatRequest,
         ticket: Ticket,
         sink: Sink,
@@ -156,16 +161,16 @@
         self._outcome = Outcome.NOT_RUN
 
     async def run(self) -> None:
-        """Tries until the answer is whole or no try is left.
+        """Makes attempts until the response is complete or retries run out.
 
         Raises:
-            RefusedError: The sink refused the answer.
-            SlowCallerError: The caller takes no data.
+            RefusedError: The sink rejected the response.
+            SlowCallerError: A write to the caller timed out.
         """
         decision = await self._router.place(self._ticket)
         while isinstance(decision, Dispatch):
             attempt = decision.attempt
-            refused = await self._try(attempt)
+            refused = await self._run_attempt(attempt)
             if refused is not None:
                 return await self._fail(refused)
             if self._state.finish is not None:
@@ -173,29 +178,29 @@
             decision = await self._place_again(attempt)
         await self._fail(self._refusal(decision))
 
-    async def _try(self, attempt: Attempt) -> RefusedError | None:
-        """Makes one attempt; returns a refusal if no other may follow."""
+    async def _run_attempt(self, attempt: Attempt) -> RefusedError | None:
+        """Makes one attempt; returns an error if it must not be retried."""
         attempt_id = f"{self._router.incarnation}/{attempt.number}"
         self._state.begin(attempt_id)
         result = AttemptResult(cancelled=True)
-        relay = _Relay(
+        relay = _AttemptRelay(
             self._router, self._state, self._sink, attempt, self.watchdog
         )
         try:
-            await self._relay(attempt, attempt_id, relay)
+            await self._relay_stream(attempt, attempt_id, relay)
             result = AttemptResult(cached_tokens=relay.cached_tokens)
         except SendRefusedError as exc:
             return RefusedError(
                 exc.refusal,
-                NO_NEW_WORK,
+                SEND_REFUSED_MESSAGE,
                 self._current_outcome(),
             )
-        except (EndpointError, StreamFault) as exc:
+        except (EndpointError, StreamProtocolError) as exc:
             result = AttemptResult(RetryReason(exc.reason), relay.cached_tokens)
-            self._note_failure(attempt, exc)
+            self._record_failure(attempt, exc)
         finally:
-            # A finished stream needs no cancel; an attempt that may still run
-            # would hold the runner's slot.
+            # An attempt that may still be running is cancelled, since it would
+            # occupy a slot of the runner. A finished stream needs no cancel.
             self._router.scheduler.finished(
                 attempt, result, self._router.clock.now()
             )
@@ -203,31 +208,32 @@
                 await self._background.start(self._cancel, attempt, attempt_id)
         return None
 
-    async def _relay(
-        self, attempt: Attempt, attempt_id: str, relay: "_Relay"
+    async def _relay_stream(
+        self, attempt: Attempt, attempt_id: str, relay: "_AttemptRelay"
     ) -> None:
         limit_s = max(0.05, self._ticket.deadline - self._router.clock.now())
 
         def check() -> RefusalReason | None:
-            reason = may_send(self._router.may_start)
+            reason = send_refusal(self._router.start_refusal)
             relay.sent = reason is None
             return reason
 
         async with self._router.adapter.open_chat(
             attempt,
-            self._body(),
+            self._request_body(),
             self._ticket.id,
             attempt_id,
             check,
             limit_s,
         ) as stream:
             await relay.run(stream)
-            # The server reports a disconnect after a whole answer too.
+            # Set first: the ASGI server also reports a disconnect after a
+            # complete response.
             self.ended = True
             self._router.count("requests.finished")
             await self._sink.finish(self._state.finish)
 
-    def _body(self) -> bytes:
+    def _request_body(self) -> bytes:
         fields = dict(self._request.fields)
         fields |= {
             "stream": True,
@@ -247,8 +253,8 @@
                 attempt.endpoint, self._ticket.id, attempt_id
             )
 
-    def _note_failure(
-        self, attempt: Attempt, exc: EndpointError | StreamFault
+    def _record_failure(
+        self, attempt: Attempt, exc: EndpointError | StreamProtocolError
     ) -> None:
         reason = RetryReason(exc.reason)
         written = not isinstance(exc, EndpointError) or exc.written
@@ -270,8 +276,8 @@
         if self._state.started:
             if not self._state.resumable:
                 return Refuse(RefusalReason.NO_RESUME)
-            # The text so far is of these weights; others would not go on
-            # with it. The next token gets the time of a first one.
+            # Other weights would not continue the text generated so far. The
+            # next token gets the time limit of a first token.
             self._ticket = attrs.evolve(
                 self._ticket,
                 weights_version=failed.endpoint.weights_version,
@@ -289,7 +295,7 @@
     def _refusal(self, decision: Refuse) -> RefusedError:
         return RefusedError(
             decision.reason,
-            f"the request was refused: {decision.reason.value}",
+            f"the request could not be placed: {decision.reason.value}",
             self._current_outcome(),
             decision.retry_after_s,
         )
@@ -308,12 +314,12 @@
 
 
 @attrs.define
-class _Relay:
-    """Passes the tokens of one attempt on.
+class _AttemptRelay:
+    """Relays the tokens of one attempt to the sink.
 
     Attributes:
         sent: Whether bytes of the request may have been written.
-        cached_tokens: Prompt tokens found in the cache, if told.
+        cached_tokens: Prompt tokens found in the cache, if reported.
     """
 
     router: "RouterPort"
@@ -323,64 +329,67 @@
     watchdog: Watchdog
     sent: bool = False
     cached_tokens: int | None = None
-    _first: bool = True
+    _before_first_token: bool = True
 
     async def run(self, stream: ChatStream) -> None:
-        """Relays until the end mark.
+        """Relays events until the `[DONE]` marker.
 
         Raises:
-            StreamFault: The attempt broke the rules of a stream.
-            EndpointError: The stream broke or was silent.
+            StreamProtocolError: The runner violated the stream protocol.
+            EndpointError: The connection failed or a read timed out.
+            SlowCallerError: A write to the caller timed out.
         """
         watchdog = self.watchdog
         with anyio.CancelScope() as scope:
             watchdog.watch(scope)
             watchdog.begin(Step.FIRST_EVENT, stream.first_event_s)
             while events := await stream.read():
-                watchdog.begin(Step.WRITE, WRITE_S)
-                await self._pass_on(events)
+                watchdog.begin(Step.WRITE, WRITE_TIMEOUT_S)
+                await self._deliver_chunks(events)
                 if self.state.finish is not None:
                     break
-                watchdog.begin(Step.NEXT_EVENT, STREAM_SILENCE_S)
+                watchdog.begin(Step.NEXT_EVENT, STREAM_IDLE_TIMEOUT_S)
             watchdog.stop()
         if scope.cancelled_caught:
-            raise self._late(stream)
+            raise self._timeout_error(stream)
         self.state.end()
 
-    def _late(self, stream: ChatStream) -> KnapweedarchError:
+    def _timeout_error(self, stream: ChatStream) -> KnapweedarchError:
         match self.watchdog.expired:
             case Step.WRITE:
                 return SlowCallerError(
-                    f"the caller took no data in {WRITE_S} s"
+                    f"a write to the caller timed out after {WRITE_TIMEOUT_S} s"
                 )
             case Step.FIRST_EVENT:
                 return stream.failed(
-                    RetryReason.FIRST_TOKEN_TIMEOUT, "the first token is late"
+                    RetryReason.FIRST_TOKEN_TIMEOUT,
+                    "the first token did not arrive in time",
                 )
         return stream.failed(
-            RetryReason.STREAM_SILENT, f"silent for {STREAM_SILENCE_S} s"
+            RetryReason.STREAM_SILENT, f"no event for {STREAM_IDLE_TIMEOUT_S} s"
         )
 
-    async def _pass_on(self, events) -> None:
+    async def _deliver_chunks(self, events) -> None:
         chunks: list[Chunk] = []
         try:
             for event in events:
                 if self.state.accept(event):
                     chunks.append(event)
                 if getattr(event, "load", None) is not None:
-                    self._take_load(event)
+                    self._report_load(event)
                 if self.state.finish is not None:
                     return
         finally:
-            # What came before a fault is good, and counts as delivered.
+            # Chunks before an invalid event passed the checks and count as
+            # accepted, so they are delivered.
             if chunks:
-                self._note_first(chunks[0])
+                self._record_first_token(chunks[0])
                 await self.sink.deliver(chunks)
 
-    def _note_first(self, chunk: Chunk) -> None:
-        if not self._first:
+    def _record_first_token(self, chunk: Chunk) -> None:
+        if not self._before_first_token:
             return
-        self._first = False
+        self._before_first_token = False
         self.cached_tokens = chunk.cached_tokens
         now = self.router.clock.now()
         self.router.scheduler.first_token(self.attempt, now)
@@ -388,10 +397,10 @@
             waited_s = now - self.attempt.ticket.arrived_at
             self.router.timing("first_token", waited_s)
         if chunk.cached_tokens is not None:
-            self._count_prompt(chunk.cached_tokens)
+            self._count_prompt_tokens(chunk.cached_tokens)
 
-    def _count_prompt(self, cached_tokens: int) -> None:
-        """Counts what the runner found in its cache and what it computed."""
+    def _count_prompt_tokens(self, cached_tokens: int) -> None:
+        """Counts cached and computed prompt tokens, and missed cache hits."""
         attempt = self.attempt
         computed = max(0, attempt.ticket.prompt_tokens - cached_tokens)
         expected = attempt.cached_blocks * BLOCK_TOKENS
@@ -399,7 +408,7 @@
         self.router.count("tokens.computed", computed)
         self.router.count("tokens.wasted", max(0, expected - cached_tokens))
 
-    def _take_load(self, event: Chunk | Finish) -> None:
+    def _report_load(self, event: Chunk | Finish) -> None:
         endpoint = self.attempt.endpoint
         report = attrs.evolve(
             event.load,
--- a/knapweedarch/gateway.py
+++ b/knapweedarch/gateway.py
@@ -10,7 +10,7 @@
 import cattrs
 
 from knapweedarch.adapters import Adapter
-from knapweedarch.background import Background
+from knapweedarch.background import BackgroundTasks
 from knapweedarch.callers import (
     BodyBudget,
     Call,
@@ -42,44 +42,45 @@
 
 MAX_ANNOUNCEMENT_BYTES = 64 * 1024
 MAX_NAME_CHARS = 128
-MAX_SERVED = 64
-# A connection whose peer acknowledges nothing for this long is reset by the
-# kernel. hypercorn waits without limit for a stuck peer when it closes.
-USER_TIMEOUT_MS = 15_000
-# Kernel buffer for what a slow caller has not read; the kernel doubles it.
-# 64 KiB each millisecond of round trip is far more than a stream needs.
+MAX_SERVED_NAMES = 64
+# The kernel resets a connection whose peer acknowledges no data for this long.
+# Without it, hypercorn waits indefinitely for such a peer when it closes.
+TCP_USER_TIMEOUT_MS = 15_000
+# Kernel send buffer, which holds data that a slow caller has not read; the
+# kernel doubles the value. 64 KiB per millisecond of round-trip time is far
+# more than a stream needs.
 SEND_BUFFER_BYTES = 64 * 1024
 
 
 class SchedulerPort(Protocol):
-    """What the gateway uses of the scheduler; see the design page, 5.1."""
+    """Scheduler interface that the gateway uses; see the design page, 5.1."""
 
     def version_for(self, model: str) -> str:
-        """Returns the weights version to hash a prompt for."""
+        """Returns the weights version that a prompt is hashed for."""
 
     def report_load(self, report: object, now: float) -> None:
-        """Takes over a load report."""
+        """Records a load report."""
 
     def first_token(self, attempt: Attempt, now: float) -> None:
-        """Notes the first token of an attempt."""
+        """Records the first token of an attempt."""
 
     def finished(
         self, attempt: Attempt, outcome: AttemptResult, now: float
     ) -> None:
-        """Notes the end of an attempt."""
+        """Records the result of an attempt."""
 
 
 class RouterPort(Protocol):
-    """What the gateway uses of the router.
+    """Router interface that the gateway uses.
 
     Attributes:
         clock: Clock of the router.
         rules: Rules in force.
-        scheduler: Decides about placement.
-        adapter: Calls endpoints.
-        incarnation: Random text drawn at each start of the router.
-        max_body_bytes: Longest body of a request.
-        endpoint_credential: Credential that endpoints announce with.
+        scheduler: Decides on the placement of requests.
+        adapter: Sends requests to endpoints.
+        incarnation: Random identifier chosen at each start of the router.
+        max_body_bytes: Maximum size of a request body.
+        endpoint_credential: Credential that endpoints send in announcements.
     """
 
     clock: Clock | ManualClock
@@ -91,25 +92,25 @@
     endpoint_credential: str
 
     def customer_for(self, api_key: str) -> CustomerRule | None:
-        """Returns the customer of an API key."""
+        """Returns the customer for an API key, or None if it is unknown."""
 
-    def may_start(self) -> RefusalReason | None:
-        """Returns why no new work may start now, or None if it may.
+    def start_refusal(self) -> RefusalReason | None:
+        """Returns why no new request may start now, or None if it may.
 
-        An expired lease comes before `STOPPING`, which does not stop the
-        sends of requests that were accepted before.
+        An expired lease takes precedence over `STOPPING`: requests that were
+        accepted before a planned stop are still sent.
         """
 
     def lease_epoch(self) -> int:
-        """Returns the number of lapses of the lease so far."""
+        """Returns the lease epoch, which changes if the lease has lapsed."""
 
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
-        """Waits for the decision on a request."""
+        """Waits for the placement decision for a request."""
 
     async def place_again(
         self, ticket: Ticket, failed: Attempt
     ) -> Dispatch | Refuse:
-        """Waits for the decision on a further attempt."""
+        """Waits for the placement decision for a retry."""
 
     def service_endpoints(self, name: str) -> Sequence[Endpoint]:
         """Returns the active endpoints of a service, best first."""
@@ -118,36 +119,36 @@
         """Submits a command to the control members.
 
         Raises:
-            ControlError: The command was refused or its outcome is unknown.
+            ControlError: The command was rejected or its outcome is unknown.
         """
 
     async def announce(self, endpoint: Endpoint) -> object | None:
-        """Passes an announcement on if it says anything new."""
+        """Forwards an announcement to the control members if it is new."""
 
     def ready(self) -> bool:
-        """Tells whether the balancer may send callers here."""
+        """Returns whether the load balancer may send requests here."""
 
     def count(self, name: str, number: int = 1) -> None:
-        """Adds to a counter."""
+        """Increments a counter."""
 
     def timing(self, name: str, seconds: float) -> None:
         """Records a duration in seconds."""
 
     def log(self, event: str, **fields: object) -> None:
-        """Logs an event of the catalogue."""
+        """Logs an event of the event catalogue."""
 
 
 class Gateway:
     """The ASGI application; create it with `create_app`.
 
     Attributes:
-        budget: Bounds the bodies that are held at once.
+        budget: Limits the request bodies in memory.
     """
 
     def __init__(self, router: RouterPort):
         self._router = router
-        self._background = Background()
-        self._numbers = itertools.count(1)
+        self._background = BackgroundTasks()
+        self._request_numbers = itertools.count(1)
         self.budget = BodyBudget()
         self._chats = ChatHandler(router, self._background)
         self._services = ServiceHandler(router, self._background)
@@ -155,11 +156,13 @@
     async def __call__(
         self, scope: Message, receive: Receive, send: Send
     ) -> None:
-        """Handles the lifespan or one request."""
+        """Handles the lifespan or one HTTP request."""
         if scope["type"] == "lifespan":
             return await self._background.lifespan(receive, send)
         if scope["type"] != "http":
-            raise ValueError(f"scope type {scope['type']} is not served")
+            raise ValueError(
+                f"ASGI scope type {scope['type']} is not supported"
+            )
         call = create_call(scope, receive, send, self.budget)
         try:
             await self._handle(call)
@@ -168,9 +171,9 @@
         except CallerGoneError:
             self._router.count("cancelled")
         except SlowCallerError as exc:
-            self._count_refusal(RefusalReason.SLOW_CALLER, str(exc))
+            self._record_refusal(RefusalReason.SLOW_CALLER, str(exc))
         except Exception as exc:
-            # The server answers 500 or cuts the answer off.
+            # The server sends status 500, or aborts a started response.
             self._router.log("request_failed", error=repr(exc))
             raise
         finally:
@@ -179,10 +182,10 @@
     async def _handle(self, call: Call) -> None:
         match call.method, call.path:
             case "GET", "/live":
-                await call.answer_json(200, {"live": True})
+                await call.send_json(200, {"live": True})
             case "GET", "/ready":
                 ready = self._router.ready()
-                await call.answer_json(200 if ready else 503, {"ready": ready})
+                await call.send_json(200 if ready else 503, {"ready": ready})
             case "POST", "/v1/endpoints":
                 await self._announce(call)
             case "GET", "/v1/models":
@@ -198,11 +201,11 @@
             case _:
                 raise RefusedError(
                     RefusalReason.UNKNOWN_PATH,
-                    f"nothing answers {call.method} {call.path[:200]}",
+                    f"no route for {call.method} {call.path[:200]}",
                 )
 
     def _request_id(self) -> str:
-        return f"{self._router.incarnation}-{next(self._numbers)}"
+        return f"{self._router.incarnation}-{next(self._request_numbers)}"
 
     def _customer(self, call: Call) -> CustomerRule:
         scheme, _, key = call.header("authorization").partition(" ")
@@ -215,11 +218,11 @@
         return customer
 
     async def _refuse(self, call: Call, refused: RefusedError) -> None:
-        self._count_refusal(refused.reason, refused.message)
+        self._record_refusal(refused.reason, refused.message)
         if not call.started:
-            await call.refuse(refused)
+            await call.send_error(refused)
 
-    def _count_refusal(self, reason: RefusalReason, message: str) -> None:
+    def _record_refusal(self, reason: RefusalReason, message: str) -> None:
         self._router.count(f"refused.{reason.value}")
         self._router.log(
             "request_refused", reason=reason.value, message=message
@@ -233,15 +236,16 @@
             if not customer.models or rule.name in customer.models
         ]
         data = [{"id": name, "object": "model"} for name in names]
-        await call.answer_json(200, {"object": "list", "data": data})
+        await call.send_json(200, {"object": "list", "data": data})
 
     async def _announce(self, call: Call) -> None:
-        want = f"Bearer {self._router.endpoint_credential}".encode()
-        told = call.header("authorization").encode("latin1")
-        if not hmac.compare_digest(want, told):
+        expected = f"Bearer {self._router.endpoint_credential}".encode()
+        received = call.header("authorization").encode("latin1")
+        if not hmac.compare_digest(expected, received):
             self._router.count("credential.refused")
             raise RefusedError(
-                RefusalReason.BAD_CREDENTIAL, "the endpoint credential is wrong"
+                RefusalReason.BAD_CREDENTIAL,
+                "the endpoint credential is invalid",
             )
         body = await call.read_body(MAX_ANNOUNCEMENT_BYTES)
         endpoint = parse_endpoint(body)
@@ -258,14 +262,14 @@
             raise RefusedError(
                 RefusalReason.TOO_MANY_RECORDS, "the endpoint table is full"
             )
-        await call.answer_json(200, {"accepted": endpoint.id})
+        await call.send_json(200, {"accepted": endpoint.id})
 
 
 def parse_endpoint(body: bytes) -> Endpoint:
-    """Parses an announcement.
+    """Parses and validates an announcement.
 
     Raises:
-        RefusedError: It is malformed or a field is out of bounds.
+        RefusedError: It is malformed or a field is out of range.
     """
     try:
         endpoint = cattrs.structure(json.loads(body), Endpoint)
@@ -288,23 +292,23 @@
         raise ValueError(f"a name is longer than {MAX_NAME_CHARS} characters")
     if not (endpoint.id and endpoint.incarnation and endpoint.serves):
         raise ValueError("id, incarnation and serves must not be empty")
-    if len(endpoint.serves) > MAX_SERVED:
-        raise ValueError(f"serves has more than {MAX_SERVED} names")
+    if len(endpoint.serves) > MAX_SERVED_NAMES:
+        raise ValueError(f"serves has more than {MAX_SERVED_NAMES} names")
     if endpoint.slots < 1 or endpoint.cache_blocks < 0:
         raise ValueError("slots or cache_blocks is out of range")
     scheme, _, rest = endpoint.url.partition("://")
     host, _, port = rest.rpartition(":")
     if scheme != "http" or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ValueError("url is not http://NUMBER:PORT")
+        raise ValueError("url must have the form http://IP_ADDRESS:PORT")
     family = socket.AF_INET6 if host.startswith("[") else socket.AF_INET
-    # Only IP numbers: resolving a name would need a thread.
+    # Only IP addresses: resolving a name would need a thread.
     socket.inet_pton(family, host.strip("[]"))
 
 
-def tune_listener(listener: socket.socket) -> None:
-    """Sets the options that accepted connections inherit."""
+def configure_listener(listener: socket.socket) -> None:
+    """Sets socket options that accepted connections inherit."""
     listener.setsockopt(
-        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
     )
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
--- a/knapweedarch/http_server.py
+++ b/knapweedarch/http_server.py
@@ -51,7 +51,7 @@
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listener = socket.socket(family, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        gateway.tune_listener(listener)
+        gateway.configure_listener(listener)
         listener.bind((host, port))
         listener.setblocking(False)
         return listener
@@ -109,7 +109,7 @@
     async def _refuse_full(self, scope, receive, send) -> None:
         """Refuses before any byte of the body is read."""
         self._metrics.count(f"refused.{RefusalReason.QUEUE_FULL.value}")
-        await create_call(scope, receive, send).refuse(
+        await create_call(scope, receive, send).send_error(
             RefusedError(
                 RefusalReason.QUEUE_FULL, "too many requests are in progress"
             )
