--- a/features/steps/endpoint_registry_steps.py
+++ b/features/steps/endpoint_registry_steps.py
@@ -78,7 +78,7 @@
 
 
 @given("weights {version:d} are named")
-def weights_named(context, version):
+def target_weights(context, version):
     context.group.store(NameWeights(MODEL, version))
 
 
@@ -94,7 +94,7 @@
 
 
 @when("the member loses the lead")
-def loses_lead(context):
+def loses_leadership(context):
     context.group.is_leader = False
 
 
--- a/features/steps/proxy_steps.py
+++ b/features/steps/proxy_steps.py
@@ -153,7 +153,7 @@
 
 
 @then("runner {number:d} has seen {count:d} requests")
-def has_seen(context, number, count):
+def has_received(context, number, count):
     assert len(context.runners[number - 1].received) == count
 
 
@@ -163,7 +163,7 @@
 
 
 @then("the answer names a time to come back within a third of {seconds:d} s")
-def comes_back(context, seconds):
+def has_retry_after(context, seconds):
     found = re.search(r"retry-after: ([\d.]+)", context.answer.head.lower())
     assert 0 < float(found.group(1)) <= seconds / 3
 
@@ -178,7 +178,7 @@
 
 
 @then("the relayed stream is whole")
-def stream_whole(context):
+def stream_is_complete(context):
     assert stream_body(context) == b"".join(EVENTS), context.answer.body
     assert context.answer.body.endswith(b"0\r\n\r\n")
 
@@ -288,7 +288,7 @@
 
 
 @then("the request gets its whole answer")
-def whole_answer(context):
+def gets_complete_answer(context):
     assert context.answer.status == 200, context.answer
     assert context.answer.body == BODY, context.answer
     assert "connection: close" in context.answer.head.lower()
