--- a/bench/variants.py
+++ b/bench/variants.py
@@ -170,7 +170,7 @@
         "no class limits",
         change=_admitting(fill=dict.fromkeys(models.Priority, 2.0)),
     ),
-    Variant("no ageing", change=_admitting(age_s=NEVER)),
+    Variant("no ageing", change=_admitting(ageing_s=NEVER)),
     Variant(
         "no ejection", change=_retrying(slow_floor_s=NEVER, failures=10**9)
     ),
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -338,7 +338,7 @@
     "with share {small:d} have {count:d} requests each"
 )
 def shared_queue(context, one, share, other, small, count):
-    context.room = admission.WaitingRoom(admission.AdmissionConfig())
+    context.queue = admission.RequestQueue(admission.AdmissionConfig())
     for customer, weight in ((one, share), (other, small)):
         for i in range(count):
             ticket = models.Ticket(
@@ -351,15 +351,15 @@
                 100,
                 60.0,
             )
-            context.room.add(admission.Waiting(ticket, 0.0), weight)
+            context.queue.add(admission.QueuedRequest(ticket, 0.0), weight)
 
 
 @then('the first {count:d} served requests contain {part:d} of "{customer}"')
 def served_first(context, count, part, customer):
     served = []
     for _ in range(count):
-        entry = context.room.ranked(context.room, 0.0)[0]
-        context.room.served(entry)
+        entry = context.queue.ranked(context.queue, 0.0)[0]
+        context.queue.mark_dispatched(entry)
         served.append(entry.ticket.customer)
     assert served.count(customer) == part, served
 
--- a/knapweedarch/admission.py
+++ b/knapweedarch/admission.py
@@ -38,7 +38,7 @@
             models.Priority.BATCH: 0.3,
         }
     )
-    age_s: float = 40.0
+    ageing_s: float = 40.0
     queue_limit: int = 500
 
 
@@ -46,11 +46,11 @@
 class _CustomerState:
     rule: models.CustomerRule
     tokens: float = 0.0
-    filled_at: float = -math.inf
+    refilled_at: float = -math.inf
     active: set[str] = attrs.field(factory=set)
 
 
-class Limits:
+class CustomerLimits:
     """Rate and concurrency limits of customers."""
 
     def __init__(self) -> None:
@@ -85,9 +85,9 @@
             return 1.0
         if rule.rate:
             burst = max(1.0, rule.rate * BURST_S)
-            gained = (now - state.filled_at) * rule.rate
+            gained = (now - state.refilled_at) * rule.rate
             state.tokens = min(burst, state.tokens + gained)
-            state.filled_at = now
+            state.refilled_at = now
             if state.tokens < 1.0:
                 return (1.0 - state.tokens) / rule.rate
             state.tokens -= 1.0
@@ -108,7 +108,7 @@
 
 
 @attrs.define
-class Waiting:
+class QueuedRequest:
     """A request that waits.
 
     Attributes:
@@ -122,69 +122,71 @@
     """
 
     ticket: models.Ticket
-    since: float
+    queued_at: float
     not_before: float = 0.0
     avoid: frozenset[str] = frozenset()
-    tag: float = 0.0
+    start_tag: float = 0.0
     target: str = ""
-    tried_at: float = 0.0
+    last_tried_at: float = 0.0
 
 
-class WaitingRoom:
+class RequestQueue:
     """Requests of one model that wait for a runner."""
 
     def __init__(self, cfg: AdmissionConfig):
         self._cfg = cfg
-        self._waiting: dict[str, Waiting] = {}
-        self._finish: dict[tuple[models.Priority, str], float] = {}
-        self._virtual: dict[models.Priority, float] = {}
+        self._waiting: dict[str, QueuedRequest] = {}
+        self._finish_tags: dict[tuple[models.Priority, str], float] = {}
+        self._virtual_time: dict[models.Priority, float] = {}
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedRequest]:
         return iter(list(self._waiting.values()))
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Tells whether no further request may wait."""
         return len(self._waiting) >= self._cfg.queue_limit
 
-    def add(self, entry: Waiting, share: float) -> None:
+    def add(self, entry: QueuedRequest, share: float) -> None:
         """Queues a request with its customer's weight."""
         ticket = entry.ticket
         key = (ticket.priority, ticket.customer)
         start = max(
-            self._virtual.get(ticket.priority, 0.0),
-            self._finish.get(key, 0.0),
+            self._virtual_time.get(ticket.priority, 0.0),
+            self._finish_tags.get(key, 0.0),
         )
         work = ticket.prompt_tokens + ticket.max_tokens
-        self._finish[key] = start + work / share
-        entry.tag = start
+        self._finish_tags[key] = start + work / share
+        entry.start_tag = start
         self._waiting[ticket.id] = entry
 
-    def remove(self, ticket_id: str) -> Waiting | None:
+    def remove(self, ticket_id: str) -> QueuedRequest | None:
         """Takes a request out of the queue."""
         return self._waiting.pop(ticket_id, None)
 
-    def served(self, entry: Waiting) -> None:
+    def mark_dispatched(self, entry: QueuedRequest) -> None:
         """Takes out a dispatched request and advances the virtual time."""
         self.remove(entry.ticket.id)
         priority = entry.ticket.priority
-        virtual = self._virtual.get(priority, 0.0)
-        self._virtual[priority] = max(virtual, entry.tag)
+        virtual = self._virtual_time.get(priority, 0.0)
+        self._virtual_time[priority] = max(virtual, entry.start_tag)
 
     def least_recently_tried(self, count: int, now: float) -> set[str]:
         """Ids of the requests that were not tried for the longest time."""
         ready = (w for w in self._waiting.values() if w.not_before <= now)
-        oldest = heapq.nsmallest(count, ready, key=lambda w: w.tried_at)
+        oldest = heapq.nsmallest(count, ready, key=lambda w: w.last_tried_at)
         return {w.ticket.id for w in oldest}
 
-    def ranked(self, entries: Iterable[Waiting], now: float) -> list[Waiting]:
+    def ranked(
+        self, entries: Iterable[QueuedRequest], now: float
+    ) -> list[QueuedRequest]:
         """Sorts requests into the order in which they are served."""
         return sorted(entries, key=lambda w: self._order(w, now))
 
     def _order(
-        self, entry: Waiting, now: float
+        self, entry: QueuedRequest, now: float
     ) -> tuple[int, bool, float, float]:
         """Sort key; requests of lower classes come first once raised.
 
@@ -192,12 +194,12 @@
         """
         rank = self.rank(entry, now)
         raised = rank < entry.ticket.priority
-        return rank, not raised, entry.tag, entry.since
+        return rank, not raised, entry.start_tag, entry.queued_at
 
-    def rank(self, entry: Waiting, now: float) -> int:
+    def rank(self, entry: QueuedRequest, now: float) -> int:
         """Class of a request after ageing."""
         priority = int(entry.ticket.priority)
-        raised = int((now - entry.since) / self._cfg.age_s)
+        raised = int((now - entry.queued_at) / self._cfg.ageing_s)
         return max(min(priority, int(models.Priority.GUEST)), priority - raised)
 
     def fill_limit(self, rank: int) -> float:
--- a/knapweedarch/scheduler.py
+++ b/knapweedarch/scheduler.py
@@ -21,11 +21,11 @@
 
 # Waiting requests of full runners for which one poll looks for another runner,
 # those not tried for longest first. Bounds the time of a poll.
-POLL_TRIES = 4
+STALE_TRIES_PER_POLL = 4
 
 # Interval in seconds at which waiting requests are tried again, because
 # expected load falls with time and not only with events.
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
 @attrs.frozen
@@ -47,7 +47,7 @@
     attempt: models.Attempt
     sent_at: float
     choice: placement.Candidate
-    first_at: float | None = None
+    first_token_at: float | None = None
 
 
 def create_scheduler(cfg: SchedulerConfig, seed: int) -> "Scheduler":
@@ -65,35 +65,35 @@
         self._rng = random.Random(seed)
         self._placer = placer
         self._index = index.CacheIndex(cfg.assumed_s)
-        self._limits = admission.Limits()
+        self._limits = admission.CustomerLimits()
         self._versions: dict[str, str] = {}
         self._budget = retries.RetryBudget(cfg.retry_cfg)
         self._health = retries.HealthTable(cfg.retry_cfg, self._rng)
         self._endpoints: dict[str, models.Endpoint] = {}
         self._loads: dict[str, loads.RunnerLoad] = {}
-        self._lost: set[str] = set()
-        self._rooms: dict[str, admission.WaitingRoom] = {}
+        self._feed_lost: set[str] = set()
+        self._queues: dict[str, admission.RequestQueue] = {}
         self._running: dict[int, _Running] = {}
-        self._retried: dict[str, int] = {}
+        self._retry_counts: dict[str, int] = {}
         self._next_number = 1
 
     def set_endpoints(
         self, endpoints: Sequence[models.Endpoint], now: float
     ) -> None:
         """Takes over the list of endpoints; plain services are ignored."""
-        first = not self._endpoints
+        initial = not self._endpoints
         runners = {
             e.id: e for e in endpoints if e.kind is models.EndpointKind.RUNNER
         }
-        for gone in sorted(self._endpoints.keys() - runners.keys()):
-            self._index.drop_endpoint(gone)
-            self._loads.pop(gone, None)
-            self._lost.discard(gone)
-            self._health.reset(gone)
+        for removed in sorted(self._endpoints.keys() - runners.keys()):
+            self._index.drop_endpoint(removed)
+            self._loads.pop(removed, None)
+            self._feed_lost.discard(removed)
+            self._health.reset(removed)
         for runner in runners.values():
             known = self._endpoints.get(runner.id)
             if known is None or known.incarnation != runner.incarnation:
-                self._start_runner(runner, first, now)
+                self._add_runner(runner, initial, now)
         self._endpoints = runners
 
     def set_limits(self, rules: models.Rules) -> None:
@@ -126,7 +126,7 @@
         endpoint = self._endpoints.get(report.endpoint_id)
         if endpoint is None or endpoint.incarnation != report.incarnation:
             return
-        self._lost.discard(endpoint.id)
+        self._feed_lost.discard(endpoint.id)
         self._loads[endpoint.id].take_report(report, now)
 
     def cache_event(self, event: models.CacheEvent, now: float) -> None:
@@ -151,7 +151,7 @@
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
             return
-        self._lost.add(endpoint_id)
+        self._feed_lost.add(endpoint_id)
         self._index.drop_endpoint(endpoint_id)
         self._index.set_endpoint(endpoint_id, endpoint.incarnation)
 
@@ -161,12 +161,12 @@
         if retry_after is not None:
             return models.Refuse(models.RefusalReason.OVER_LIMIT, retry_after)
         self._placer.arrived(ticket, now)
-        decision = self._decide(admission.Waiting(ticket, now), now)
+        decision = self._decide(admission.QueuedRequest(ticket, now), now)
         match decision:
             case models.Dispatch():
                 self._budget.first_attempt()
             case models.Refuse():
-                self._forget(ticket)
+                self._release(ticket)
         return decision
 
     def retry(
@@ -183,37 +183,39 @@
                 models.AttemptResult(models.RetryReason.ENDPOINT_ERROR),
                 now,
             )
-        count = self._retried.get(ticket.id, 0) + 1
+        count = self._retry_counts.get(ticket.id, 0) + 1
         if (
             count > self._cfg.retry_cfg.most_per_ticket
             or not self._budget.take()
         ):
-            self._forget(ticket)
+            self._release(ticket)
             return models.Refuse(models.RefusalReason.RETRIES_EXHAUSTED)
-        self._retried[ticket.id] = count
+        self._retry_counts[ticket.id] = count
         self._limits.resume(ticket)
         delay = retries.back_off_s(self._cfg.retry_cfg, count, self._rng)
-        entry = admission.Waiting(
+        entry = admission.QueuedRequest(
             ticket, now, now + delay, frozenset({failed.endpoint.id})
         )
-        self._room(ticket.model).add(entry, self._limits.share(ticket.customer))
+        self._queue(ticket.model).add(
+            entry, self._limits.share(ticket.customer)
+        )
         return models.Wait()
 
     def first_token(self, attempt: models.Attempt, now: float) -> None:
         """Notes the first token of an attempt."""
         running = self._running.get(attempt.number)
-        if running is None or running.first_at is not None:
+        if running is None or running.first_token_at is not None:
             return
-        running.first_at = now
+        running.first_token_at = now
         load = self._loads.get(attempt.endpoint.id)
         if load is not None:
             load.computed(attempt.number)
-        if not self._current(attempt):
+        if not self._is_current(attempt):
             return
         self._index.assume(attempt.endpoint.id, attempt.ticket.blocks, now)
-        late = now - running.sent_at - running.choice.first_token_s
-        peers = self._peers(attempt.ticket.model)
-        self._health.succeeded(attempt.endpoint.id, late, peers, now)
+        lateness_s = now - running.sent_at - running.choice.first_token_s
+        peers = self._peer_ids(attempt.ticket.model)
+        self._health.succeeded(attempt.endpoint.id, lateness_s, peers, now)
 
     def finished(
         self,
@@ -227,12 +229,12 @@
             return
         self._limits.release(attempt.ticket)
         if outcome.failure is None:
-            self._retried.pop(attempt.ticket.id, None)
-        if not self._current(attempt):
+            self._retry_counts.pop(attempt.ticket.id, None)
+        if not self._is_current(attempt):
             return
         self._loads[attempt.endpoint.id].ended(attempt.number)
         if outcome.failure is not None:
-            peers = self._peers(attempt.ticket.model)
+            peers = self._peer_ids(attempt.ticket.model)
             self._health.failed(attempt.endpoint.id, peers, now)
         elif outcome.cached_tokens is not None:
             count = outcome.cached_tokens // prefixes.BLOCK_TOKENS
@@ -242,111 +244,115 @@
 
     def withdraw(self, ticket_id: str, now: float) -> None:
         """Forgets a request: its caller left, or it will not be retried."""
-        self._retried.pop(ticket_id, None)
-        for room in self._rooms.values():
-            entry = room.remove(ticket_id)
+        self._retry_counts.pop(ticket_id, None)
+        for queue in self._queues.values():
+            entry = queue.remove(ticket_id)
             if entry is not None:
-                self._aim(entry, "")
-                self._forget(entry.ticket)
+                self._set_target(entry, "")
+                self._release(entry.ticket)
 
     def poll(self, now: float) -> list[tuple[str, models.Decision]]:
         """Returns the requests that no longer wait."""
         done: list[tuple[str, models.Decision]] = []
-        for room in self._rooms.values():
-            if len(room):
-                done += self._poll_room(room, now)
+        for queue in self._queues.values():
+            if len(queue):
+                done += self._poll_queue(queue, now)
         return done
 
     def next_wake(self, now: float) -> float | None:
         """Time of the next poll that may return something."""
-        if not any(len(room) for room in self._rooms.values()):
+        if not any(len(queue) for queue in self._queues.values()):
             return None
-        return now + POLL_S
+        return now + POLL_INTERVAL_S
 
-    def _poll_room(
-        self, room: admission.WaitingRoom, now: float
+    def _poll_queue(
+        self, queue: admission.RequestQueue, now: float
     ) -> list[tuple[str, models.Decision]]:
-        late = [w for w in room if now >= w.ticket.deadline]
-        done = [self._refuse_waiting(room, entry) for entry in late]
-        stale = room.least_recently_tried(POLL_TRIES, now)
-        for entry in room.ranked(self._triable(room, stale, now), now):
-            if entry.ticket.id not in stale and not self._target_free(
-                entry, room, now
+        expired = [w for w in queue if now >= w.ticket.deadline]
+        done = [self._refuse_waiting(queue, entry) for entry in expired]
+        stale = queue.least_recently_tried(STALE_TRIES_PER_POLL, now)
+        for entry in queue.ranked(self._placeable(queue, stale, now), now):
+            if entry.ticket.id not in stale and not self._target_has_capacity(
+                entry, queue, now
             ):
                 continue
-            entry.tried_at = now
-            decision = self._place(entry, room.rank(entry, now), now)
+            entry.last_tried_at = now
+            decision = self._place(entry, queue.rank(entry, now), now)
             match decision:
                 case models.Dispatch():
-                    room.served(entry)
+                    queue.mark_dispatched(entry)
                     done.append((entry.ticket.id, decision))
                 case models.Refuse(reason=reason):
-                    done.append(self._refuse_waiting(room, entry, reason))
+                    done.append(self._refuse_waiting(queue, entry, reason))
         return done
 
-    def _triable(
-        self, room: admission.WaitingRoom, stale: set[str], now: float
-    ) -> list[admission.Waiting]:
+    def _placeable(
+        self, queue: admission.RequestQueue, stale: set[str], now: float
+    ) -> list[admission.QueuedRequest]:
         """Lists the requests that are stale or whose runner has room now."""
         free: dict[tuple[str, int], bool] = {}
         found = []
-        for entry in room:
+        for entry in queue:
             if entry.not_before > now:
                 continue
-            key = (entry.target, room.rank(entry, now))
+            key = (entry.target, queue.rank(entry, now))
             if key not in free:
-                free[key] = self._target_free(entry, room, now)
+                free[key] = self._target_has_capacity(entry, queue, now)
             if free[key] or entry.ticket.id in stale:
                 found.append(entry)
         return found
 
-    def _target_free(
+    def _target_has_capacity(
         self,
-        entry: admission.Waiting,
-        room: admission.WaitingRoom,
+        entry: admission.QueuedRequest,
+        queue: admission.RequestQueue,
         now: float,
     ) -> bool:
         """Tells whether the runner that a request waits for has room."""
         endpoint = self._endpoints.get(entry.target)
-        return endpoint is None or self._has_room(
-            endpoint, entry.ticket, room.rank(entry, now), now
+        return endpoint is None or self._has_capacity(
+            endpoint, entry.ticket, queue.rank(entry, now), now
         )
 
     def _refuse_waiting(
         self,
-        room: admission.WaitingRoom,
-        entry: admission.Waiting,
+        queue: admission.RequestQueue,
+        entry: admission.QueuedRequest,
         reason: models.RefusalReason = models.RefusalReason.DEADLINE,
     ) -> tuple[str, models.Decision]:
-        room.remove(entry.ticket.id)
-        self._aim(entry, "")
-        self._forget(entry.ticket)
+        queue.remove(entry.ticket.id)
+        self._set_target(entry, "")
+        self._release(entry.ticket)
         return (
             entry.ticket.id,
             models.Refuse(reason),
         )
 
-    def _decide(self, entry: admission.Waiting, now: float) -> models.Decision:
+    def _decide(
+        self, entry: admission.QueuedRequest, now: float
+    ) -> models.Decision:
         """Decides on an arriving request; queues it if it must wait."""
-        room = self._room(entry.ticket.model)
-        decision = self._place(entry, room.rank(entry, now), now, new=True)
+        queue = self._queue(entry.ticket.model)
+        decision = self._place(
+            entry, queue.rank(entry, now), now, arriving=True
+        )
         if isinstance(decision, models.Wait):
-            if room.full():
-                self._aim(entry, "")
+            if queue.is_full():
+                self._set_target(entry, "")
                 return models.Refuse(models.RefusalReason.QUEUE_FULL)
-            room.add(entry, self._limits.share(entry.ticket.customer))
+            queue.add(entry, self._limits.share(entry.ticket.customer))
         return decision
 
     def _place(
         self,
-        entry: admission.Waiting,
+        entry: admission.QueuedRequest,
         rank: int,
         now: float,
-        new: bool = False,
+        arriving: bool = False,
     ) -> models.Decision:
         """Dispatches a request, or tells whether it may wait."""
         ticket = entry.ticket
-        self._aim(entry, "")
+        self._set_target(entry, "")
         endpoints = self._eligible(ticket, entry.avoid, now)
         if not endpoints:
             return models.Refuse(models.RefusalReason.NO_CAPACITY)
@@ -355,7 +361,7 @@
             endpoints,
             self._loads,
             self._index.depths(ticket.blocks, now),
-            {e.id: self._fill(e) for e in endpoints},
+            {e.id: self._cache_fill(e) for e in endpoints},
             now,
         )
         timely = [c for c in choices if now + c.first_token_s < ticket.deadline]
@@ -363,16 +369,16 @@
             soonest = min(c.first_token_s for c in choices)
             return models.Refuse(models.RefusalReason.DEADLINE, soonest)
         for choice in timely[: self._placer.tries]:
-            queue = self._loads[choice.endpoint.id].awaiting
-            passed = new and any(queue[: rank + 1])
-            if not passed and self._has_room(
+            waiting = self._loads[choice.endpoint.id].awaiting
+            overtakes = arriving and any(waiting[: rank + 1])
+            if not overtakes and self._has_capacity(
                 choice.endpoint, ticket, rank, now
             ):
-                return self._send(ticket, choice, now)
-        self._aim(entry, timely[0].endpoint.id)
+                return self._dispatch(ticket, choice, now)
+        self._set_target(entry, timely[0].endpoint.id)
         return models.Wait()
 
-    def _aim(self, entry: admission.Waiting, target: str) -> None:
+    def _set_target(self, entry: admission.QueuedRequest, target: str) -> None:
         """Moves a waiting request's count to the runner it waits for."""
         priority = entry.ticket.priority
         if entry.target in self._loads:
@@ -381,7 +387,7 @@
             self._loads[target].awaiting[priority] += 1
         entry.target = target
 
-    def _has_room(
+    def _has_capacity(
         self,
         endpoint: models.Endpoint,
         ticket: models.Ticket,
@@ -389,11 +395,11 @@
         now: float,
     ) -> bool:
         load = self._loads[endpoint.id]
-        limit = self._room(ticket.model).fill_limit(rank) * endpoint.slots
+        limit = self._queue(ticket.model).fill_limit(rank) * endpoint.slots
         limit *= retries.ramp(self._cfg.retry_cfg, load.ramp_from, now)
         return self._placer.occupancy(load) < max(1.0, limit)
 
-    def _send(
+    def _dispatch(
         self, ticket: models.Ticket, choice: placement.Candidate, now: float
     ) -> models.Dispatch:
         endpoint = choice.endpoint
@@ -415,7 +421,7 @@
         # runners of the older version serve on, or capacity would drop to
         # the few that have loaded the new one.
         version = ticket.weights_version
-        able = [
+        capable = [
             e
             for e in self._endpoints.values()
             if ticket.model in e.serves
@@ -423,34 +429,34 @@
             and (not version or e.weights_version == version)
             and (e.weights_version or not self._versions.get(ticket.model))
         ]
-        healthy = [e for e in able if not self._health.ejected(e.id, now)]
-        present = [e for e in healthy if e.id not in self._lost]
-        fresh = [e for e in present if e.id not in avoid]
-        return fresh or present or healthy or able
+        healthy = [e for e in capable if not self._health.ejected(e.id, now)]
+        present = [e for e in healthy if e.id not in self._feed_lost]
+        untried = [e for e in present if e.id not in avoid]
+        return untried or present or healthy or capable
 
-    def _fill(self, endpoint: models.Endpoint) -> float:
+    def _cache_fill(self, endpoint: models.Endpoint) -> float:
         if not endpoint.cache_blocks:
             return 1.0
         known = self._index.blocks_of(endpoint.id)
         return min(1.0, known / endpoint.cache_blocks)
 
-    def _start_runner(
-        self, runner: models.Endpoint, first: bool, now: float
+    def _add_runner(
+        self, runner: models.Endpoint, initial: bool, now: float
     ) -> None:
         """Starts a runner's state; slow start unless the router is new."""
         self._index.set_endpoint(runner.id, runner.incarnation)
         load = loads.RunnerLoad(reported_at=now)
-        if not first:
+        if not initial:
             load.ramp_from = now
-        for room in self._rooms.values():
-            for entry in room:
+        for queue in self._queues.values():
+            for entry in queue:
                 if entry.target == runner.id:
                     load.awaiting[entry.ticket.priority] += 1
         self._loads[runner.id] = load
-        self._lost.discard(runner.id)
+        self._feed_lost.discard(runner.id)
         self._health.reset(runner.id)
 
-    def _current(self, attempt: models.Attempt) -> bool:
+    def _is_current(self, attempt: models.Attempt) -> bool:
         """Tells whether the attempt's incarnation of the runner still runs."""
         known = self._endpoints.get(attempt.endpoint.id)
         return (
@@ -458,16 +464,16 @@
             and known.incarnation == attempt.endpoint.incarnation
         )
 
-    def _peers(self, model: str) -> list[str]:
+    def _peer_ids(self, model: str) -> list[str]:
         return [e.id for e in self._endpoints.values() if model in e.serves]
 
-    def _room(self, model: str) -> admission.WaitingRoom:
-        room = self._rooms.get(model)
-        if room is None:
-            room = admission.WaitingRoom(self._cfg.admission_cfg)
-            self._rooms[model] = room
-        return room
+    def _queue(self, model: str) -> admission.RequestQueue:
+        queue = self._queues.get(model)
+        if queue is None:
+            queue = admission.RequestQueue(self._cfg.admission_cfg)
+            self._queues[model] = queue
+        return queue
 
-    def _forget(self, ticket: models.Ticket) -> None:
+    def _release(self, ticket: models.Ticket) -> None:
         self._limits.release(ticket)
-        self._retried.pop(ticket.id, None)
+        self._retry_counts.pop(ticket.id, None)
