--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -128,7 +128,7 @@
             number = (n // CHAIN) // endpoints + 1
             name = f"r{(n // CHAIN + copy * (endpoints // 2)) % endpoints}"
             cache.apply(_stored(name, number * REPLICAS + copy, chain))
-            cache.take_gaps()
+            cache.pop_gaps()
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return used / max(1, len(cache))
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -164,7 +164,7 @@
     Variant("no hot copies", change=_placing(hot_target=NEVER)),
     Variant(
         "no assumed entries",
-        change=lambda cfg: attrs.evolve(cfg, assumed_s=0.0),
+        change=lambda cfg: attrs.evolve(cfg, assumed_ttl_s=0.0),
     ),
     Variant(
         "no class limits",
--- a/knapweedarch/index.py
+++ b/knapweedarch/index.py
@@ -19,15 +19,15 @@
 
 # Time after which an own request's blocks count as absent unless an event or
 # an answer has confirmed them. Covers prefill and the lag of events.
-ASSUMED_S = 4.0
+ASSUMED_TTL_S = 4.0
 
 # Table entries looked at per event while a retired bit is cleared. Bounds
 # the cost of an event.
-SWEEP_STEP = 64
+SWEEP_ENTRIES_PER_EVENT = 64
 
 
 @attrs.define
-class Feed:
+class FeedState:
     """State of the event feed of one runner.
 
     Attributes:
@@ -46,19 +46,19 @@
 class CacheIndex:
     """Block hashes by runner, with chain look-up."""
 
-    def __init__(self, assumed_s: float = ASSUMED_S):
-        self._assumed_s = assumed_s
+    def __init__(self, assumed_ttl_s: float = ASSUMED_TTL_S):
+        self._assumed_ttl_s = assumed_ttl_s
         self._table: dict[int, int] = {}
         self._assumed: dict[int, int] = {}
         self._expiry: dict[tuple[int, int], float] = {}
         self._expiry_queue: collections.deque[tuple[float, int, int]] = (
             collections.deque()
         )
-        self._feeds: dict[str, Feed] = {}
+        self._feeds: dict[str, FeedState] = {}
         self._owner_of_bit: dict[int, str] = {}
-        self._live = 0
-        self._used = 0
-        self._retired = 0
+        self._live_mask = 0
+        self._used_mask = 0
+        self._retired_mask = 0
         self._sweep: list[int] = []
         self._sweep_mask = 0
         self._gaps: set[str] = set()
@@ -104,7 +104,7 @@
                 self._evict(feed, event.blocks)
             case models.CacheChange.CLEARED:
                 self._clear(event)
-        if self._retired or self._sweep:
+        if self._retired_mask or self._sweep:
             self._sweep_step()
         return True
 
@@ -129,7 +129,7 @@
         self._store(feed, snapshot.blocks)
         return True
 
-    def take_gaps(self) -> list[str]:
+    def pop_gaps(self) -> list[str]:
         """Returns and forgets the runners that need a snapshot.
 
         These are new runners, new incarnations, and runners with a gap in
@@ -145,7 +145,7 @@
         feed = self._feeds.get(endpoint_id)
         if feed is None:
             return
-        until = now + self._assumed_s
+        until = now + self._assumed_ttl_s
         for block in blocks:
             if self._table.get(block, 0) & feed.bit:
                 continue
@@ -163,44 +163,46 @@
         self._expire(now)
         found: dict[str, int] = {}
         table, assumed = self._table, self._assumed
-        held = self._live
+        held = self._live_mask
         for depth, block in enumerate(blocks):
-            still = held & (table.get(block, 0) | assumed.get(block, 0))
-            if still != held:
-                self._note(found, held & ~still, depth)
-                held = still
+            remaining = held & (table.get(block, 0) | assumed.get(block, 0))
+            if remaining != held:
+                self._record_depth(found, held & ~remaining, depth)
+                held = remaining
                 if not held:
                     return found
-        self._note(found, held, len(blocks))
+        self._record_depth(found, held, len(blocks))
         return found
 
-    def blocks_of(self, endpoint_id: str) -> int:
+    def block_count(self, endpoint_id: str) -> int:
         """Number of confirmed blocks of a runner."""
         feed = self._feeds.get(endpoint_id)
         return feed.blocks if feed else 0
 
-    def _note(self, found: dict[str, int], mask: int, depth: int) -> None:
+    def _record_depth(
+        self, found: dict[str, int], mask: int, depth: int
+    ) -> None:
         while depth and mask:
             bit = mask & -mask
             found[self._owner_of_bit[bit]] = depth
             mask ^= bit
 
-    def _open_feed(self, endpoint_id: str, incarnation: str) -> Feed:
+    def _open_feed(self, endpoint_id: str, incarnation: str) -> FeedState:
         old = self._feeds.get(endpoint_id)
         if old is not None:
             self._retire(old.bit)
-        bit = ~self._used & (self._used + 1)
-        self._used |= bit
-        self._live |= bit
+        bit = ~self._used_mask & (self._used_mask + 1)
+        self._used_mask |= bit
+        self._live_mask |= bit
         self._owner_of_bit[bit] = endpoint_id
-        feed = self._feeds[endpoint_id] = Feed(incarnation, bit)
+        feed = self._feeds[endpoint_id] = FeedState(incarnation, bit)
         return feed
 
     def _retire(self, bit: int) -> None:
-        self._live &= ~bit
-        self._retired |= bit
+        self._live_mask &= ~bit
+        self._retired_mask |= bit
 
-    def _store(self, feed: Feed, blocks: tuple[int, ...]) -> None:
+    def _store(self, feed: FeedState, blocks: tuple[int, ...]) -> None:
         table, bit = self._table, feed.bit
         for block in blocks:
             mask = table.get(block, 0)
@@ -208,7 +210,7 @@
                 table[block] = mask | bit
                 feed.blocks += 1
 
-    def _evict(self, feed: Feed, blocks: tuple[int, ...]) -> None:
+    def _evict(self, feed: FeedState, blocks: tuple[int, ...]) -> None:
         table, bit = self._table, feed.bit
         for block in blocks:
             mask = table.get(block, 0)
@@ -240,10 +242,10 @@
     def _sweep_step(self) -> None:
         """Clears retired bits from a bounded number of table entries."""
         if not self._sweep:
-            self._sweep_mask, self._retired = self._retired, 0
+            self._sweep_mask, self._retired_mask = self._retired_mask, 0
             self._sweep = list(self._table)
         keep = ~self._sweep_mask
-        for _ in range(min(SWEEP_STEP, len(self._sweep))):
+        for _ in range(min(SWEEP_ENTRIES_PER_EVENT, len(self._sweep))):
             block = self._sweep.pop()
             mask = self._table.get(block, 0)
             if mask & self._sweep_mask:
@@ -260,9 +262,9 @@
         """Makes swept bits available, unless an assumption still uses one."""
         for _, bit in self._expiry:
             if mask & bit:
-                self._retired |= bit
+                self._retired_mask |= bit
                 mask &= ~bit
-        self._used &= ~mask
+        self._used_mask &= ~mask
         while mask:
             bit = mask & -mask
             del self._owner_of_bit[bit]
--- a/knapweedarch/scheduler.py
+++ b/knapweedarch/scheduler.py
@@ -39,7 +39,7 @@
         factory=admission.AdmissionConfig
     )
     retry_cfg: retries.RetryConfig = attrs.field(factory=retries.RetryConfig)
-    assumed_s: float = index.ASSUMED_S
+    assumed_ttl_s: float = index.ASSUMED_TTL_S
 
 
 @attrs.define
@@ -64,7 +64,7 @@
         self._cfg = cfg
         self._rng = random.Random(seed)
         self._placer = placer
-        self._index = index.CacheIndex(cfg.assumed_s)
+        self._index = index.CacheIndex(cfg.assumed_ttl_s)
         self._limits = admission.CustomerLimits()
         self._versions: dict[str, str] = {}
         self._budget = retries.RetryBudget(cfg.retry_cfg)
@@ -141,7 +141,7 @@
 
     def take_snapshot_requests(self) -> list[str]:
         """Returns once each runner whose blocks must be asked for."""
-        return self._index.take_gaps()
+        return self._index.pop_gaps()
 
     def endpoint_lost(self, endpoint_id: str, now: float) -> None:
         """Notes that a runner's feed broke; its entries are dropped.
@@ -437,7 +437,7 @@
     def _cache_fill(self, endpoint: models.Endpoint) -> float:
         if not endpoint.cache_blocks:
             return 1.0
-        known = self._index.blocks_of(endpoint.id)
+        known = self._index.block_count(endpoint.id)
         return min(1.0, known / endpoint.cache_blocks)
 
     def _add_runner(
