--- a/knapweedarch/loads.py
+++ b/knapweedarch/loads.py
@@ -12,7 +12,7 @@
 
 # Own sends older than this count as included in a report of a runner that
 # does not tell which attempts its report includes. Two report intervals.
-UNTOLD_LAG_S = 0.5
+UNACKNOWLEDGED_LAG_S = 0.5
 
 
 def is_urgent(priority: models.Priority) -> bool:
@@ -58,14 +58,14 @@
     queued_tokens: int = 0
     urgent_tokens: int = 0
     reported_at: float = 0.0
-    finished: int = 0
+    ended_since_report: int = 0
     pending: dict[int, PendingSend] = attrs.field(factory=dict)
-    awaiting: list[int] = attrs.field(
+    waiting_by_class: list[int] = attrs.field(
         factory=lambda: [0] * len(models.Priority)
     )
-    ramp_from: float = -math.inf
+    slow_start_at: float = -math.inf
 
-    def take_report(self, report: models.LoadReport, now: float) -> None:
+    def apply_report(self, report: models.LoadReport, now: float) -> None:
         """Takes over a report and forgets the sends that it includes."""
         self.running, self.queued = report.running, report.queued
         self.queued_tokens = report.queued_tokens
@@ -74,32 +74,34 @@
             if report.urgent_tokens is None
             else report.urgent_tokens
         )
-        self.reported_at, self.finished = now, 0
+        self.reported_at, self.ended_since_report = now, 0
         self.pending = {
             number: send
             for number, send in self.pending.items()
-            if not self._included(number, send, report, now)
+            if not self._is_included(number, send, report, now)
         }
 
-    def sent(self, number: int, tokens: int, urgent: bool, now: float) -> None:
+    def record_send(
+        self, number: int, tokens: int, urgent: bool, now: float
+    ) -> None:
         """Notes an own attempt."""
         self.pending[number] = PendingSend(tokens, urgent, now)
 
-    def computed(self, number: int) -> None:
+    def record_prefill(self, number: int) -> None:
         """Notes that the prompt of an own attempt is computed."""
         if number in self.pending:
             self.pending[number].tokens = 0
 
-    def ended(self, number: int) -> None:
+    def record_end(self, number: int) -> None:
         """Notes the end of an own attempt."""
         if self.pending.pop(number, None) is None:
-            self.finished += 1
+            self.ended_since_report += 1
 
     def reported_requests(self) -> int:
         """Requests of the last report, without own ones that ended since."""
-        return max(0, self.running + self.queued - self.finished)
+        return max(0, self.running + self.queued - self.ended_since_report)
 
-    def tokens_before(
+    def tokens_ahead(
         self, priority: models.Priority, pending_weight: float
     ) -> float:
         """Prompt tokens computed before those of a new request.
@@ -114,7 +116,7 @@
         own = sum(s.tokens for s in self.pending.values())
         return self.queued_tokens + own * pending_weight
 
-    def _included(
+    def _is_included(
         self,
         number: int,
         send: PendingSend,
@@ -123,4 +125,4 @@
     ) -> bool:
         if report.acknowledged:
             return number <= report.acknowledged
-        return send.sent_at < now - UNTOLD_LAG_S
+        return send.sent_at < now - UNACKNOWLEDGED_LAG_S
--- a/knapweedarch/placement.py
+++ b/knapweedarch/placement.py
@@ -217,10 +217,10 @@
         this runner are counted as if every router had as many as this one.
         """
         cfg = self._cfg
-        tokens = load.tokens_before(priority, self._peers)
+        tokens = load.tokens_ahead(priority, self._peers)
         queued = tokens / cfg.prefill_tokens_s
         wait = max(0.0, queued - max(0.0, now - load.reported_at))
-        ahead = sum(load.awaiting[: priority + 1]) * cfg.peer_routers
+        ahead = sum(load.waiting_by_class[: priority + 1]) * cfg.peer_routers
         excess = self.occupancy(load) + ahead + 1 - endpoint.slots
         if excess > 0:
             wait += excess * cfg.service_s / endpoint.slots
--- a/knapweedarch/scheduler.py
+++ b/knapweedarch/scheduler.py
@@ -127,7 +127,7 @@
         if endpoint is None or endpoint.incarnation != report.incarnation:
             return
         self._feed_lost.discard(endpoint.id)
-        self._loads[endpoint.id].take_report(report, now)
+        self._loads[endpoint.id].apply_report(report, now)
 
     def cache_event(self, event: models.CacheEvent, now: float) -> None:
         """Takes over a cache event."""
@@ -209,7 +209,7 @@
         running.first_token_at = now
         load = self._loads.get(attempt.endpoint.id)
         if load is not None:
-            load.computed(attempt.number)
+            load.record_prefill(attempt.number)
         if not self._is_current(attempt):
             return
         self._index.assume(attempt.endpoint.id, attempt.ticket.blocks, now)
@@ -232,7 +232,7 @@
             self._retry_counts.pop(attempt.ticket.id, None)
         if not self._is_current(attempt):
             return
-        self._loads[attempt.endpoint.id].ended(attempt.number)
+        self._loads[attempt.endpoint.id].record_end(attempt.number)
         if outcome.failure is not None:
             peers = self._peer_ids(attempt.ticket.model)
             self._health.failed(attempt.endpoint.id, peers, now)
@@ -369,7 +369,7 @@
             soonest = min(c.first_token_s for c in choices)
             return models.Refuse(models.RefusalReason.DEADLINE, soonest)
         for choice in timely[: self._placer.tries]:
-            waiting = self._loads[choice.endpoint.id].awaiting
+            waiting = self._loads[choice.endpoint.id].waiting_by_class
             overtakes = arriving and any(waiting[: rank + 1])
             if not overtakes and self._has_capacity(
                 choice.endpoint, ticket, rank, now
@@ -382,9 +382,9 @@
         """Moves a waiting request's count to the runner it waits for."""
         priority = entry.ticket.priority
         if entry.target in self._loads:
-            self._loads[entry.target].awaiting[priority] -= 1
+            self._loads[entry.target].waiting_by_class[priority] -= 1
         if target:
-            self._loads[target].awaiting[priority] += 1
+            self._loads[target].waiting_by_class[priority] += 1
         entry.target = target
 
     def _has_capacity(
@@ -396,7 +396,7 @@
     ) -> bool:
         load = self._loads[endpoint.id]
         limit = self._queue(ticket.model).fill_limit(rank) * endpoint.slots
-        limit *= retries.ramp(self._cfg.retry_cfg, load.ramp_from, now)
+        limit *= retries.ramp(self._cfg.retry_cfg, load.slow_start_at, now)
         return self._placer.occupancy(load) < max(1.0, limit)
 
     def _dispatch(
@@ -408,7 +408,7 @@
         hit = choice.cached_blocks * prefixes.BLOCK_TOKENS
         missing = max(0, ticket.prompt_tokens - hit)
         urgent = loads.is_urgent(ticket.priority)
-        self._loads[endpoint.id].sent(number, missing, urgent, now)
+        self._loads[endpoint.id].record_send(number, missing, urgent, now)
         self._running[number] = _Running(attempt, now, choice)
         self._index.assume(endpoint.id, ticket.blocks, now)
         return models.Dispatch(attempt)
@@ -447,11 +447,11 @@
         self._index.set_endpoint(runner.id, runner.incarnation)
         load = loads.RunnerLoad(reported_at=now)
         if not initial:
-            load.ramp_from = now
+            load.slow_start_at = now
         for queue in self._queues.values():
             for entry in queue:
                 if entry.target == runner.id:
-                    load.awaiting[entry.ticket.priority] += 1
+                    load.waiting_by_class[entry.ticket.priority] += 1
         self._loads[runner.id] = load
         self._feed_lost.discard(runner.id)
         self._health.reset(runner.id)
