--- a/bench/variants.py
+++ b/bench/variants.py
@@ -175,7 +175,7 @@
         "no ejection", change=_retrying(slow_floor_s=NEVER, failures=10**9)
     ),
     Variant("no retry budget", change=_retrying(reserve=NEVER)),
-    Variant("no slow start", change=_retrying(ramp_s=1e-9)),
+    Variant("no slow start", change=_retrying(slow_start_s=1e-9)),
 )
 
 
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -323,14 +323,14 @@
     names = list(context.runners)
     for name in names:
         for _ in range(count):
-            context.health.failed(name, names, 0.0)
+            context.health.record_failure(name, names, 0.0)
 
 
 @then("{count:d} runners are ejected")
 def ejected(context, count):
     names = list(context.runners)
-    assert sum(context.health.ejected(n, 1.0) for n in names) == count
-    assert not any(context.health.ejected(n, 10.0) for n in names)
+    assert sum(context.health.is_ejected(n, 1.0) for n in names) == count
+    assert not any(context.health.is_ejected(n, 10.0) for n in names)
 
 
 @given(
--- a/knapweedarch/retries.py
+++ b/knapweedarch/retries.py
@@ -30,16 +30,16 @@
 
     ratio: float = 0.1
     reserve: float = 10.0
-    most_per_ticket: int = 3
+    max_retries_per_request: int = 3
     back_off_s: float = 0.05
-    back_off_most_s: float = 1.0
-    eject_s: float = 3.0
-    eject_most_s: float = 30.0
+    max_back_off_s: float = 1.0
+    ejection_s: float = 3.0
+    max_ejection_s: float = 30.0
     failures: int = 3
     slow_factor: float = 3.0
     slow_floor_s: float = 0.25
     samples: int = 5
-    ramp_s: float = 4.0
+    slow_start_s: float = 4.0
 
 
 class RetryBudget:
@@ -49,11 +49,11 @@
         self._cfg = cfg
         self._tokens = cfg.reserve
 
-    def first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Notes a first attempt, which pays for a part of a retry."""
         self._tokens = min(self._cfg.reserve, self._tokens + self._cfg.ratio)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Takes one retry out of the budget."""
         if self._tokens < 1.0:
             return False
@@ -69,19 +69,19 @@
         retry: 1 for the first retry of a request.
         rng: Seeded source of the jitter, which keeps routers apart.
     """
-    mean = min(cfg.back_off_most_s, cfg.back_off_s * 2 ** (retry - 1))
+    mean = min(cfg.max_back_off_s, cfg.back_off_s * 2 ** (retry - 1))
     return mean * rng.uniform(0.5, 1.5)
 
 
-def ramp(cfg: RetryConfig, started_at: float, now: float) -> float:
+def slow_start_limit(cfg: RetryConfig, started_at: float, now: float) -> float:
     """Part of a runner's limit that slow start allows, 0.25 to 1."""
-    return min(1.0, 0.25 + 0.75 * (now - started_at) / cfg.ramp_s)
+    return min(1.0, 0.25 + 0.75 * (now - started_at) / cfg.slow_start_s)
 
 
 @attrs.define
 class _Health:
     failures: int = 0
-    late_s: float = 0.0
+    lateness_s: float = 0.0
     samples: int = 0
     ejected_until: float = -math.inf
     ejections: int = 0
@@ -99,58 +99,66 @@
         """Forgets what is known about an endpoint."""
         self._health.pop(endpoint_id, None)
 
-    def failed(
+    def record_failure(
         self, endpoint_id: str, peers: Sequence[str], now: float
     ) -> None:
         """Notes a failed attempt; ejects the endpoint after several."""
-        health = self._of(endpoint_id)
+        health = self._get(endpoint_id)
         health.failures += 1
         if health.failures >= self._cfg.failures:
             self._eject(endpoint_id, peers, now)
 
-    def succeeded(
-        self, endpoint_id: str, late_s: float, peers: Sequence[str], now: float
+    def record_success(
+        self,
+        endpoint_id: str,
+        lateness_s: float,
+        peers: Sequence[str],
+        now: float,
     ) -> None:
         """Notes a first token and how late it came.
 
         Args:
             endpoint_id: The endpoint.
-            late_s: Time to the first token beyond the expected time.
+            lateness_s: Time to the first token beyond the expected time.
             peers: All endpoints of the same model.
             now: Seconds on the router's clock.
         """
-        health = self._of(endpoint_id)
+        health = self._get(endpoint_id)
         health.failures = 0
         health.samples += 1
-        health.late_s += 0.3 * (max(0.0, late_s) - health.late_s)
-        if health.samples >= self._cfg.samples and self._slow(health, peers):
+        health.lateness_s += 0.3 * (max(0.0, lateness_s) - health.lateness_s)
+        if health.samples >= self._cfg.samples and self._is_slow(health, peers):
             self._eject(endpoint_id, peers, now)
 
-    def ejected(self, endpoint_id: str, now: float) -> bool:
+    def is_ejected(self, endpoint_id: str, now: float) -> bool:
         """Tells whether an endpoint gets no new work."""
         health = self._health.get(endpoint_id)
         return health is not None and now < health.ejected_until
 
-    def _of(self, endpoint_id: str) -> _Health:
+    def _get(self, endpoint_id: str) -> _Health:
         return self._health.setdefault(endpoint_id, _Health())
 
-    def _slow(self, health: _Health, peers: Sequence[str]) -> bool:
+    def _is_slow(self, health: _Health, peers: Sequence[str]) -> bool:
         others: Mapping[str, _Health] = self._health
-        known = [others[p].late_s for p in peers if p in others]
+        known = [others[p].lateness_s for p in peers if p in others]
         median = statistics.median(known) if known else 0.0
         bound = max(self._cfg.slow_floor_s, self._cfg.slow_factor * median)
-        return health.late_s > bound
+        return health.lateness_s > bound
 
     def _eject(
         self, endpoint_id: str, peers: Sequence[str], now: float
     ) -> None:
         """Ejects an endpoint unless a third of its peers is ejected."""
-        away = sum(self.ejected(p, now) for p in peers if p != endpoint_id)
-        if away + 1 > len(peers) // 3:
+        ejected_peers = sum(
+            self.is_ejected(p, now) for p in peers if p != endpoint_id
+        )
+        if ejected_peers + 1 > len(peers) // 3:
             return
-        cfg, health = self._cfg, self._of(endpoint_id)
-        span = min(cfg.eject_most_s, cfg.eject_s * 2**health.ejections)
-        health.ejected_until = now + span * self._rng.uniform(0.8, 1.2)
+        cfg, health = self._cfg, self._get(endpoint_id)
+        duration_s = min(
+            cfg.max_ejection_s, cfg.ejection_s * 2**health.ejections
+        )
+        health.ejected_until = now + duration_s * self._rng.uniform(0.8, 1.2)
         health.ejections += 1
         health.failures = health.samples = 0
-        health.late_s = 0.0
+        health.lateness_s = 0.0
--- a/knapweedarch/scheduler.py
+++ b/knapweedarch/scheduler.py
@@ -164,7 +164,7 @@
         decision = self._decide(admission.QueuedRequest(ticket, now), now)
         match decision:
             case models.Dispatch():
-                self._budget.first_attempt()
+                self._budget.record_first_attempt()
             case models.Refuse():
                 self._release(ticket)
         return decision
@@ -185,8 +185,8 @@
             )
         count = self._retry_counts.get(ticket.id, 0) + 1
         if (
-            count > self._cfg.retry_cfg.most_per_ticket
-            or not self._budget.take()
+            count > self._cfg.retry_cfg.max_retries_per_request
+            or not self._budget.try_spend()
         ):
             self._release(ticket)
             return models.Refuse(models.RefusalReason.RETRIES_EXHAUSTED)
@@ -215,7 +215,7 @@
         self._index.assume(attempt.endpoint.id, attempt.ticket.blocks, now)
         lateness_s = now - running.sent_at - running.choice.first_token_s
         peers = self._peer_ids(attempt.ticket.model)
-        self._health.succeeded(attempt.endpoint.id, lateness_s, peers, now)
+        self._health.record_success(attempt.endpoint.id, lateness_s, peers, now)
 
     def finished(
         self,
@@ -235,7 +235,7 @@
         self._loads[attempt.endpoint.id].record_end(attempt.number)
         if outcome.failure is not None:
             peers = self._peer_ids(attempt.ticket.model)
-            self._health.failed(attempt.endpoint.id, peers, now)
+            self._health.record_failure(attempt.endpoint.id, peers, now)
         elif outcome.cached_tokens is not None:
             count = outcome.cached_tokens // prefixes.BLOCK_TOKENS
             self._index.assume(
@@ -396,7 +396,9 @@
     ) -> bool:
         load = self._loads[endpoint.id]
         limit = self._queue(ticket.model).fill_limit(rank) * endpoint.slots
-        limit *= retries.ramp(self._cfg.retry_cfg, load.slow_start_at, now)
+        limit *= retries.slow_start_limit(
+            self._cfg.retry_cfg, load.slow_start_at, now
+        )
         return self._placer.occupancy(load) < max(1.0, limit)
 
     def _dispatch(
@@ -429,7 +431,7 @@
             and (not version or e.weights_version == version)
             and (e.weights_version or not self._versions.get(ticket.model))
         ]
-        healthy = [e for e in capable if not self._health.ejected(e.id, now)]
+        healthy = [e for e in capable if not self._health.is_ejected(e.id, now)]
         present = [e for e in healthy if e.id not in self._feed_lost]
         untried = [e for e in present if e.id not in avoid]
         return untried or present or healthy or capable
--- a/knapweedarch/services.py
+++ b/knapweedarch/services.py
@@ -202,7 +202,7 @@
     async def _run_repeatable(self, checked: ServiceCall) -> ServiceAnswer:
         """Tries endpoints in turn, within the retry budget."""
         endpoints = self._endpoints(checked)
-        self._budget.first_attempt()
+        self._budget.record_first_attempt()
         written = False
         for number in range(MAX_TRIES):
             endpoint = endpoints[number % len(endpoints)]
@@ -222,7 +222,7 @@
                 written = written or exc.written
                 if written and checked.method not in REPEATABLE_METHODS:
                     break
-                if not self._budget.take():
+                if not self._budget.try_spend():
                     break
             if number + 1 >= len(endpoints):
                 delay = back_off_s(RetryConfig(), number + 1, self._random)
