--- a/bench/variants.py
+++ b/bench/variants.py
@@ -151,17 +151,17 @@
 
 # Ways to know the caches, weighed against the chosen mix.
 WAYS = (
-    Variant("index only", change=_placing(spread_s=0.0)),
+    Variant("index only", change=_placing(max_rank_charge_s=0.0)),
     Variant("index at prefix owner", look_up=True),
     Variant("mix without events", no_events=True),
 )
 ABLATIONS = (
     Variant("no recompute charge", change=_placing(recompute_weight=0.0)),
     Variant("no eviction charge", change=_placing(eviction_weight=0.0)),
-    Variant("no balance charge", change=_placing(balance_s=0.0)),
-    Variant("no rendezvous rank", change=_placing(spread_s=0.0)),
+    Variant("no balance charge", change=_placing(occupancy_charge_s=0.0)),
+    Variant("no rendezvous rank", change=_placing(max_rank_charge_s=0.0)),
     Variant("no peer correction", change=_placing(peer_weight=0.0)),
-    Variant("no hot copies", change=_placing(hot_target=NEVER)),
+    Variant("no hot copies", change=_placing(hot_load_target=NEVER)),
     Variant(
         "no assumed entries",
         change=lambda cfg: attrs.evolve(cfg, assumed_ttl_s=0.0),
--- a/knapweedarch/placement.py
+++ b/knapweedarch/placement.py
@@ -17,7 +17,7 @@
 SAMPLED_DEPTHS = (0, 1, 2, 3, 5, 8, 13, 21, 34, 55)
 
 # Rendezvous orders kept before all are forgotten; one takes about 1 KB.
-REMEMBERED_ORDERS = 4096
+RENDEZVOUS_CACHE_SIZE = 4096
 
 
 @attrs.frozen
@@ -50,13 +50,13 @@
     far_s: float = 0.005
     eviction_weight: float = 0.5
     recompute_weight: float = 3.0
-    spread_s: float = 0.02
+    max_rank_charge_s: float = 0.02
     peer_routers: int = 1
     peer_weight: float = 0.1
-    balance_s: float = 0.3
-    grow_weight: float = 0.8
+    occupancy_charge_s: float = 0.3
+    replication_discount: float = 0.8
     hot_window_s: float = 3.0
-    hot_target: float = 1.0
+    hot_load_target: float = 1.0
 
 
 @attrs.frozen
@@ -86,7 +86,7 @@
         self._counts: dict[int, tuple[float, float]] = {}
         self._next_prune = 0.0
 
-    def note(self, block: int, now: float) -> None:
+    def record_arrival(self, block: int, now: float) -> None:
         """Adds one arrival."""
         count = self.rate(block, now) * self._window_s + 1.0
         self._counts[block] = (count, now)
@@ -101,7 +101,7 @@
         count, at = known
         return count * math.exp((at - now) / self._window_s) / self._window_s
 
-    def sure_rate(self, block: int, now: float) -> float:
+    def rate_lower_bound(self, block: int, now: float) -> float:
         """Arrivals per second less one standard deviation of the count."""
         count = self.rate(block, now) * self._window_s
         return max(0.0, count - math.sqrt(count)) / self._window_s
@@ -144,7 +144,7 @@
     return min(order[needed - 1], len(blocks))
 
 
-def spread_block(blocks: Sequence[int], common: int) -> int | None:
+def tie_break_block(blocks: Sequence[int], common: int) -> int | None:
     """Picks the block whose rendezvous order breaks ties.
 
     It is the first block that fewer than half of the candidates have, so
@@ -197,12 +197,14 @@
         self._cfg = cfg
         self.set_peer_routers(cfg.peer_routers)
         self._hot = HotPrefixes(cfg.hot_window_s)
-        self._orders: dict[tuple[int, tuple[str, ...]], dict[str, int]] = {}
+        self._rank_cache: dict[tuple[int, tuple[str, ...]], dict[str, int]] = {}
 
     def set_peer_routers(self, count: int) -> None:
         """Tells how many routers choose from the same load reports."""
         self._cfg = attrs.evolve(self._cfg, peer_routers=max(1, count))
-        self._peers = 1 + self._cfg.peer_weight * (self._cfg.peer_routers - 1)
+        self._pending_weight = 1 + self._cfg.peer_weight * (
+            self._cfg.peer_routers - 1
+        )
 
     def wait_s(
         self,
@@ -217,7 +219,7 @@
         this runner are counted as if every router had as many as this one.
         """
         cfg = self._cfg
-        tokens = load.tokens_ahead(priority, self._peers)
+        tokens = load.tokens_ahead(priority, self._pending_weight)
         queued = tokens / cfg.prefill_tokens_s
         wait = max(0.0, queued - max(0.0, now - load.reported_at))
         ahead = sum(load.waiting_by_class[: priority + 1]) * cfg.peer_routers
@@ -228,14 +230,16 @@
 
     def occupancy(self, load: loads.RunnerLoad) -> float:
         """Requests expected in the batch and the queue of a runner."""
-        return load.reported_requests() + len(load.pending) * self._peers
+        return (
+            load.reported_requests() + len(load.pending) * self._pending_weight
+        )
 
-    def arrived(self, ticket: models.Ticket, now: float) -> None:
+    def record_arrival(self, ticket: models.Ticket, now: float) -> None:
         """Notes an arrival for the rates of its prefixes."""
         for depth in SAMPLED_DEPTHS:
             if depth >= len(ticket.blocks):
                 break
-            self._hot.note(ticket.blocks[depth], now)
+            self._hot.record_arrival(ticket.blocks[depth], now)
 
     def candidates(
         self,
@@ -259,15 +263,17 @@
         common = common_depth(ticket.blocks, depths, len(endpoints))
         block, copies, hot_depth = self._hot_block(ticket, endpoints, now)
         if copies < 2:
-            block = spread_block(ticket.blocks, common)
+            block = tie_break_block(ticket.blocks, common)
         if block is None:
             block = xxhash.xxh3_64_intdigest(ticket.id.encode())
         ranks = self._ranks(block, endpoints)
-        pays = not loads.is_urgent(ticket.priority)
+        may_replicate = not loads.is_urgent(ticket.priority)
         found = []
         for endpoint in endpoints:
             rank = ranks[endpoint.id]
-            grow = hot_depth if pays and rank < copies else 0
+            replicate_blocks = (
+                hot_depth if may_replicate and rank < copies else 0
+            )
             found.append(
                 self._cost(
                     ticket,
@@ -276,7 +282,7 @@
                     runner_loads[endpoint.id],
                     fill.get(endpoint.id, 1.0),
                     max(0, rank - copies + 1) / len(endpoints),
-                    grow,
+                    replicate_blocks,
                     now,
                 )
             )
@@ -296,13 +302,13 @@
         """
         cfg = self._cfg
         slots = sum(e.slots for e in endpoints) / len(endpoints)
-        per_runner = cfg.hot_target * slots / cfg.service_s
+        per_runner = cfg.hot_load_target * slots / cfg.service_s
         best = (None, 1, 0)
         for depth in SAMPLED_DEPTHS:
             if depth >= len(ticket.blocks):
                 break
             block = ticket.blocks[depth]
-            rate = self._hot.sure_rate(block, now) * cfg.peer_routers
+            rate = self._hot.rate_lower_bound(block, now) * cfg.peer_routers
             copies = min(len(endpoints), math.ceil(rate / per_runner))
             if copies < 2:
                 break
@@ -314,13 +320,13 @@
     ) -> dict[str, int]:
         """Rank of each runner in the rendezvous order, remembered."""
         key = (block, tuple(e.id for e in endpoints))
-        ranks = self._orders.get(key)
+        ranks = self._rank_cache.get(key)
         if ranks is None:
-            if len(self._orders) >= REMEMBERED_ORDERS:
-                self._orders.clear()
+            if len(self._rank_cache) >= RENDEZVOUS_CACHE_SIZE:
+                self._rank_cache.clear()
             order = rendezvous_order(block, endpoints)
             ranks = {name: rank for rank, name in enumerate(order)}
-            self._orders[key] = ranks
+            self._rank_cache[key] = ranks
         return ranks
 
     def _cost(
@@ -331,7 +337,7 @@
         load: loads.RunnerLoad,
         fill: float,
         rank: float,
-        grow: int,
+        replicate_blocks: int,
         now: float,
     ) -> Candidate:
         cfg = self._cfg
@@ -342,13 +348,13 @@
         new_blocks = max(0, len(ticket.blocks) - cached)
         distance = cfg.distance_s.get(endpoint.data_centre, cfg.far_s)
         first_token = wait + prefill + 2 * distance
-        wanted = max(0, grow - cached)
+        replicated = max(0, replicate_blocks - cached)
         charge = cfg.recompute_weight + cfg.eviction_weight * fill
         cost = (
             first_token
-            + charge * (new_blocks - wanted) * block_s
-            - cfg.grow_weight * wanted * block_s
-            + cfg.balance_s * self.occupancy(load) / endpoint.slots
-            + cfg.spread_s * rank
+            + charge * (new_blocks - replicated) * block_s
+            - cfg.replication_discount * replicated * block_s
+            + cfg.occupancy_charge_s * self.occupancy(load) / endpoint.slots
+            + cfg.max_rank_charge_s * rank
         )
         return Candidate(endpoint, cached, wait, first_token, cost)
--- a/knapweedarch/scheduler.py
+++ b/knapweedarch/scheduler.py
@@ -160,7 +160,7 @@
         retry_after = self._limits.admit(ticket, now)
         if retry_after is not None:
             return models.Refuse(models.RefusalReason.OVER_LIMIT, retry_after)
-        self._placer.arrived(ticket, now)
+        self._placer.record_arrival(ticket, now)
         decision = self._decide(admission.QueuedRequest(ticket, now), now)
         match decision:
             case models.Dispatch():
