--- a/knapweedarch/order_giver.py
+++ b/knapweedarch/order_giver.py
@@ -15,7 +15,7 @@
 from knapweedarch.state import OrdersTaken, TakeOrders
 from knapweedarch.timers import Clock
 
-TAKE_TIMEOUT_S = 3.0
+ACQUIRE_TIMEOUT_S = 3.0
 
 
 class OrderGiver:
@@ -44,11 +44,13 @@
         """Tells whether a runner lacks weights and no step is under way."""
         return not self._busy and self._rollout.is_needed(rules, endpoints)
 
-    async def give(self, rules: Rules, endpoints: Sequence[Endpoint]) -> None:
+    async def send_due_orders(
+        self, rules: Rules, endpoints: Sequence[Endpoint]
+    ) -> None:
         """Gives the orders that are due now and waits for their answers."""
         self._busy = True
         try:
-            if not await self._take_right():
+            if not await self._acquire_entitlement():
                 return
             orders = self._rollout.next_orders(
                 rules, endpoints, self._clock.now()
@@ -61,17 +63,17 @@
         finally:
             self._busy = False
 
-    async def _take_right(self) -> bool:
+    async def _acquire_entitlement(self) -> bool:
         """Becomes the one router that gives orders, unless another is."""
         epoch = self._lease.epoch
         if self._entitlement.is_held(self._lease, self._clock.now()):
             return True
         match await self._control.submit(
-            TakeOrders(self._incarnation), TAKE_TIMEOUT_S
+            TakeOrders(self._incarnation), ACQUIRE_TIMEOUT_S
         ):
             case OrdersTaken(fencing_number=number):
                 now = self._clock.now()
-                self._entitlement.taken(number, epoch, now)
+                self._entitlement.acquire(number, epoch, now)
                 log("orders_taken", fencing_number=number)
                 return self._entitlement.is_held(self._lease, now)
         return False
@@ -80,7 +82,7 @@
         if not self._entitlement.may_order(
             order.endpoint, self._lease, self._clock.now()
         ):
-            self._rollout.failed(order, self._clock.now())
+            self._rollout.record_failure(order, self._clock.now())
             return
         log("load_ordered", endpoint=order.endpoint.id, version=order.version)
         try:
@@ -92,4 +94,4 @@
         except EndpointError as exc:
             self._metrics.count("orders.failed")
             log("order_failed", endpoint=order.endpoint.id, reason=exc.reason)
-            self._rollout.failed(order, self._clock.now())
+            self._rollout.record_failure(order, self._clock.now())
--- a/knapweedarch/orders.py
+++ b/knapweedarch/orders.py
@@ -22,8 +22,8 @@
 # An order sent in the last moment of the earlier holder's lease is given up
 # by its sender after this time.
 ORDER_TIMEOUT_S = 5.0
-LOAD_LIMIT_S = 10.0
-FAILED_PAUSE_S = 2.0
+LOAD_TIMEOUT_S = 10.0
+FAILED_ORDER_DELAY_S = 2.0
 
 
 @attrs.define
@@ -38,11 +38,11 @@
 
     fencing_number: int = 0
     epoch: int = -1
-    taken_at: float = 0.0
+    acquired_at: float = 0.0
 
-    def taken(self, number: int, epoch: int, now: float) -> None:
+    def acquire(self, number: int, epoch: int, now: float) -> None:
         """Notes that the leader gave the right to this router."""
-        self.fencing_number, self.epoch, self.taken_at = number, epoch, now
+        self.fencing_number, self.epoch, self.acquired_at = number, epoch, now
 
     def is_held(self, lease: Lease, now: float) -> bool:
         """Tells whether the right still belongs to this router."""
@@ -56,8 +56,8 @@
         """
         if not self.is_held(lease, now):
             return False
-        waited = now >= self.taken_at + ORDER_TIMEOUT_S
-        return endpoint.checks_fencing or waited
+        handover_over = now >= self.acquired_at + ORDER_TIMEOUT_S
+        return endpoint.checks_fencing or handover_over
 
 
 @attrs.frozen
@@ -84,7 +84,7 @@
 
     def __init__(self):
         self._loading: dict[str, float] = {}
-        self._paused: dict[str, float] = {}
+        self._paused_until: dict[str, float] = {}
         self._versions: dict[str, str] = {}
 
     def next_orders(
@@ -98,7 +98,7 @@
             and e.status is EndpointStatus.ACTIVE
         ]
         self._versions = _versions(rules)
-        self._forget_ended(runners, now)
+        self._drop_ended_loads(runners, now)
         orders: list[LoadOrder] = []
         for rule in sorted(rules.models, key=lambda r: r.first_token_s):
             if rule.version:
@@ -116,8 +116,11 @@
             r
             for r in runners
             if r.id not in self._loading
-            and self._paused.get(r.id, 0.0) <= now
-            and (r.weights_version == version or _lacks(r, self._versions))
+            and self._paused_until.get(r.id, 0.0) <= now
+            and (
+                r.weights_version == version
+                or _lacks_wanted_version(r, self._versions)
+            )
         ]
         chosen = plan_loads(wanted, model, version, len(self._loading))
         by_id = {r.id: r for r in runners}
@@ -125,24 +128,28 @@
             self._loading[endpoint_id] = now
         return [LoadOrder(by_id[i], model, version) for i in chosen]
 
-    def _forget_ended(self, runners: Sequence[Endpoint], now: float) -> None:
+    def _drop_ended_loads(
+        self, runners: Sequence[Endpoint], now: float
+    ) -> None:
         known = {r.id: r for r in runners}
         for endpoint_id, started_at in list(self._loading.items()):
             runner = known.get(endpoint_id)
-            done = runner is None or not _lacks(runner, self._versions)
-            if done or now >= started_at + LOAD_LIMIT_S:
+            done = runner is None or not _lacks_wanted_version(
+                runner, self._versions
+            )
+            if done or now >= started_at + LOAD_TIMEOUT_S:
                 del self._loading[endpoint_id]
 
-    def failed(self, order: LoadOrder, now: float) -> None:
+    def record_failure(self, order: LoadOrder, now: float) -> None:
         """Notes an order that the runner refused or did not confirm."""
         self._loading.pop(order.endpoint.id, None)
-        self._paused[order.endpoint.id] = now + FAILED_PAUSE_S
+        self._paused_until[order.endpoint.id] = now + FAILED_ORDER_DELAY_S
 
     def is_needed(self, rules: Rules, endpoints: Sequence[Endpoint]) -> bool:
         """Tells whether any runner lacks the version that the rules name."""
         versions = _versions(rules)
         return any(
-            _lacks(endpoint, versions)
+            _lacks_wanted_version(endpoint, versions)
             for endpoint in endpoints
             if endpoint.kind is EndpointKind.RUNNER
             and endpoint.status is EndpointStatus.ACTIVE
@@ -153,7 +160,7 @@
     return {rule.name: rule.version for rule in rules.models if rule.version}
 
 
-def _lacks(runner: Endpoint, versions: dict[str, str]) -> bool:
+def _lacks_wanted_version(runner: Endpoint, versions: dict[str, str]) -> bool:
     """Tells whether a runner holds none of the versions wanted of it.
 
     A runner has one version. If its models want different ones, any of them
--- a/knapweedarch/router.py
+++ b/knapweedarch/router.py
@@ -199,7 +199,9 @@
     def _roll_out(self, now: float) -> None:
         endpoints = self._endpoints.all()
         if self._orders.is_due(self.rules, endpoints):
-            self._group.start_soon(self._orders.give, self.rules, endpoints)
+            self._group.start_soon(
+                self._orders.send_due_orders, self.rules, endpoints
+            )
 
     def _report(self, now: float) -> None:
         gauge = self._metrics.gauge
--- a/knapweedarch/weights_rollout.py
+++ b/knapweedarch/weights_rollout.py
@@ -39,7 +39,7 @@
 FIRST_DRAIN_LIMIT_S = 0.9
 CALM_DRAIN_LIMIT_S = 1.5
 # A runner that did not reach its weights in this time is ordered again.
-LOAD_LIMIT_S = 2.0
+LOAD_TIMEOUT_S = 2.0
 # Longest wait for requests that a runner has not begun. An order refuses
 # them, and each one then takes a place in the budget of repeats.
 QUEUE_LIMIT_S = 1.0
@@ -285,7 +285,7 @@
 
         A runner sends one as soon as it has loaded them.
         """
-        until = self._clock.now() + LOAD_LIMIT_S
+        until = self._clock.now() + LOAD_TIMEOUT_S
         while self._clock.now() < until:
             held = self._current(endpoint)
             if held is None or held.weights_number >= wanted.version:
