--- a/knapweedarch/chats.py
+++ b/knapweedarch/chats.py
@@ -278,7 +278,7 @@
                 deadline=self._router.clock.now()
                 + self._request.rule.first_token_s,
             )
-        decision = await self._router.place_again(self._ticket, failed)
+        decision = await self._router.place_retry(self._ticket, failed)
         if self._state.started and isinstance(decision, Dispatch):
             self._router.count("streams.resumed")
         return decision
--- a/knapweedarch/dispatcher.py
+++ b/knapweedarch/dispatcher.py
@@ -15,7 +15,7 @@
 from knapweedarch.scheduler import Scheduler
 from knapweedarch.timers import Timers
 
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 @attrs.define
@@ -41,34 +41,34 @@
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
         """Waits for the decision on a request."""
         decision = self._scheduler.submit(ticket, self._timers.clock.now())
-        return await self._decided(ticket, decision)
+        return await self._await_decision(ticket, decision)
 
-    async def place_again(
+    async def place_retry(
         self, ticket: Ticket, failed: Attempt
     ) -> Dispatch | Refuse:
         """Waits for the decision on a further attempt."""
         now = self._timers.clock.now()
-        return await self._decided(
+        return await self._await_decision(
             ticket, self._scheduler.retry(ticket, failed, now)
         )
 
-    async def _decided(
+    async def _await_decision(
         self, ticket: Ticket, decision: Decision
     ) -> Dispatch | Refuse:
         if not isinstance(decision, Wait):
             return decision
-        self._poll_soon()
+        self._schedule_poll()
         waiter = self._waiting[ticket.id] = _Waiter()
         try:
             await waiter.done.wait()
         except BaseException:
-            self._give_back(ticket.id, waiter.decision)
+            self._release(ticket.id, waiter.decision)
             raise
         finally:
             self._waiting.pop(ticket.id, None)
         return waiter.decision
 
-    def _give_back(
+    def _release(
         self, ticket_id: str, decision: Dispatch | Refuse | None
     ) -> None:
         """Frees what a request holds whose caller left."""
@@ -81,10 +81,10 @@
                     attempt, AttemptResult(cancelled=True), now
                 )
 
-    def _poll_soon(self) -> None:
+    def _schedule_poll(self) -> None:
         if not self._polling:
             self._polling = True
-            self._timers.after(POLL_S, self._poll)
+            self._timers.after(POLL_INTERVAL_S, self._poll)
 
     def _poll(self, now: float) -> None:
         self._polling = False
@@ -93,6 +93,6 @@
                 waiter.decision = decision
                 waiter.done.set()
             else:
-                self._give_back(ticket_id, decision)
+                self._release(ticket_id, decision)
         if self._waiting:
-            self._poll_soon()
+            self._schedule_poll()
--- a/knapweedarch/gateway.py
+++ b/knapweedarch/gateway.py
@@ -106,7 +106,7 @@
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
         """Waits for the decision on a request."""
 
-    async def place_again(
+    async def place_retry(
         self, ticket: Ticket, failed: Attempt
     ) -> Dispatch | Refuse:
         """Waits for the decision on a further attempt."""
--- a/knapweedarch/router.py
+++ b/knapweedarch/router.py
@@ -178,11 +178,11 @@
         """Waits for the scheduler's decision on a request."""
         return await self._dispatcher.place(ticket)
 
-    async def place_again(
+    async def place_retry(
         self, ticket: Ticket, failed: Attempt
     ) -> Dispatch | Refuse:
         """Waits for the scheduler's decision on a further attempt."""
-        return await self._dispatcher.place_again(ticket, failed)
+        return await self._dispatcher.place_retry(ticket, failed)
 
     async def _set_rules(self, version: int, text: str) -> None:
         try:
--- a/standins/fake_router.py
+++ b/standins/fake_router.py
@@ -123,7 +123,7 @@
         """Chooses the first runner that fits."""
         return self._choose(ticket, self.runners)
 
-    async def place_again(
+    async def place_retry(
         self, ticket: Ticket, failed: Attempt
     ) -> Dispatch | Refuse:
         """Chooses another runner while retries are left."""
