--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -233,22 +233,22 @@
 
 @then("its announcement is no news")
 def no_news(context):
-    assert not context.endpoints.is_news(context.known)
+    assert not context.endpoints.needs_announcement(context.known)
 
 
 @then("its announcement with another incarnation is news")
 def incarnation_is_news(context):
     changed = attrs.evolve(context.known, incarnation="other")
-    assert context.endpoints.is_news(changed)
+    assert context.endpoints.needs_announcement(changed)
 
 
 @then("its announcement as leaving is news until the members have it")
 def leaving_is_news(context):
     leaving = attrs.evolve(context.known, status=EndpointStatus.LEAVING)
     context.endpoints.update([state.EndpointEntry(leaving, 2)])
-    assert context.endpoints.is_news(leaving)
-    context.endpoints.note_announced(leaving)
-    assert not context.endpoints.is_news(leaving)
+    assert context.endpoints.needs_announcement(leaving)
+    context.endpoints.mark_announced(leaving)
+    assert not context.endpoints.needs_announcement(leaving)
 
 
 @given("a request that waits for its decision")
--- a/knapweedarch/endpoint_table.py
+++ b/knapweedarch/endpoint_table.py
@@ -24,8 +24,8 @@
 from knapweedarch.timers import Clock
 
 FEED_RETRY_S = 0.2
-FEED_RETRY_LIMIT_S = 5.0
-UNKNOWN_DISTANCE_MS = 1000.0
+FEED_RETRY_MAX_S = 5.0
+DEFAULT_DISTANCE_MS = 1000.0
 
 
 class EndpointTable:
@@ -49,11 +49,11 @@
         self._endpoints: dict[str, Endpoint] = {}
         self._announced: dict[str, Endpoint] = {}
         self._feeds: dict[str, anyio.CancelScope] = {}
-        self._group: anyio.abc.TaskGroup | None = None
+        self._task_group: anyio.abc.TaskGroup | None = None
 
     def start(self, group: anyio.abc.TaskGroup) -> None:
         """Gives the task group in which feeds are followed."""
-        self._group = group
+        self._task_group = group
 
     def all(self) -> list[Endpoint]:
         """Returns all endpoints."""
@@ -77,9 +77,9 @@
         return sorted(found, key=lambda e: (self._distance_ms(e), e.id))
 
     def _distance_ms(self, endpoint: Endpoint) -> float:
-        return self._distances_ms.get(endpoint.data_centre, UNKNOWN_DISTANCE_MS)
+        return self._distances_ms.get(endpoint.data_centre, DEFAULT_DISTANCE_MS)
 
-    def is_news(self, endpoint: Endpoint) -> bool:
+    def needs_announcement(self, endpoint: Endpoint) -> bool:
         """Tells whether an announcement must go to the members.
 
         What this router already applies is none. A leaving endpoint is told
@@ -90,7 +90,7 @@
         known = self._endpoints.get(endpoint.id)
         return known != endpoint or endpoint.status is EndpointStatus.LEAVING
 
-    def note_announced(self, endpoint: Endpoint) -> None:
+    def mark_announced(self, endpoint: Endpoint) -> None:
         """Notes that the members have an announcement."""
         self._announced[endpoint.id] = endpoint
 
@@ -115,7 +115,7 @@
             scope.cancel()
         if endpoint.kind is EndpointKind.RUNNER:
             scope = self._feeds[endpoint.id] = anyio.CancelScope()
-            self._group.start_soon(self._follow_feed, endpoint, scope)
+            self._task_group.start_soon(self._follow_feed, endpoint, scope)
 
     async def _follow_feed(
         self, endpoint: Endpoint, scope: anyio.CancelScope
@@ -126,7 +126,7 @@
                 try:
                     async for item in self._adapter.follow_feed(endpoint):
                         pause = FEED_RETRY_S
-                        self._take_feed_item(item)
+                        self._apply_feed_item(item)
                 except EndpointError as exc:
                     self._metrics.count("feed.lost")
                     log("feed_lost", endpoint=endpoint.id, reason=exc.reason)
@@ -135,9 +135,9 @@
                     )
                 # An endpoint that is gone for good costs little to look for.
                 await anyio.sleep(pause * self._random.uniform(0.5, 1.0))
-                pause = min(2 * pause, FEED_RETRY_LIMIT_S)
+                pause = min(2 * pause, FEED_RETRY_MAX_S)
 
-    def _take_feed_item(self, item: FeedItem) -> None:
+    def _apply_feed_item(self, item: FeedItem) -> None:
         now = self._clock.now()
         match item:
             case LoadReport():
--- a/knapweedarch/router.py
+++ b/knapweedarch/router.py
@@ -166,12 +166,12 @@
         Raises:
             ControlError: The members did not answer.
         """
-        if not self._endpoints.is_news(endpoint):
+        if not self._endpoints.needs_announcement(endpoint):
             return None
         result = await self._control.submit(
             Announce(endpoint), ANNOUNCE_TIMEOUT_S
         )
-        self._endpoints.note_announced(endpoint)
+        self._endpoints.mark_announced(endpoint)
         return result
 
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
