--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -140,7 +140,7 @@
 @given("a leading member and {count:d} runners with weights {version:d}")
 def leading_member(context, count, version):
     context.versions = {i: version for i in range(1, count + 1)}
-    context.take_over_s, context.mute, context.queues = 0.0, (), {}
+    context.takeover_delay_s, context.mute, context.queues = 0.0, (), {}
     context.requests = BUSY_REQUESTS
     context.named, context.loses_lead, context.taken_out = [], False, ()
 
@@ -151,7 +151,7 @@
 )
 def new_leader(context, count, version):
     leading_member(context, count, version)
-    context.take_over_s = TAKE_OVER_S
+    context.takeover_delay_s = TAKE_OVER_S
 
 
 @given("runner {number:d} has weights {version:d}")
@@ -210,7 +210,7 @@
         member.leads = not context.loses_lead
         member.requests = context.requests
         rollout = WeightsRollout(
-            member, "a", orders, Clock(), context.take_over_s
+            member, "a", orders, Clock(), context.takeover_delay_s
         )
         rollout.start(group, timers)
         group.start_soon(timers.run)
@@ -285,7 +285,7 @@
 
 @given("a new leader may give no order for {seconds:f} s")
 def takes_over(context, seconds):
-    context.take_over_s = seconds
+    context.takeover_delay_s = seconds
 
 
 @then("the first order is given within {limit:f} s")
--- a/knapweedarch/weights_rollout.py
+++ b/knapweedarch/weights_rollout.py
@@ -24,34 +24,34 @@
 )
 from knapweedarch.timers import Clock, Timers
 
-CHECK_S = 0.05
+CHECK_INTERVAL_S = 0.05
 # The store of weights is limited: more loads at once take longer each.
-LOADS_AT_ONCE = 3
+MAX_LOADS = 3
 # Runners that end their work while others load, so that no load waits.
-DRAINS_AT_ONCE = 1
-CALM_DRAINS_AT_ONCE = 3
+EXTRA_DRAINS = 1
+LOW_LOAD_EXTRA_DRAINS = 3
 # Requests per runner below which the runners count as calm.
-CALM_REQUESTS = 2.5
+LOW_LOAD_REQUESTS_PER_RUNNER = 2.5
 # Longest wait for the end of what runs. What then still runs breaks off; a
 # stream that may be resumed goes on elsewhere. The first runners get longer,
 # as a stream that goes on with old weights would be broken off again.
-DRAIN_LIMIT_S = 0.6
-FIRST_DRAIN_LIMIT_S = 0.9
-CALM_DRAIN_LIMIT_S = 1.5
+DRAIN_TIMEOUT_S = 0.6
+FIRST_DRAIN_TIMEOUT_S = 0.9
+LOW_LOAD_DRAIN_TIMEOUT_S = 1.5
 # A runner that did not reach its weights in this time is ordered again.
 LOAD_TIMEOUT_S = 2.0
 # Longest wait for requests that a runner has not begun. An order refuses
 # them, and each one then takes a place in the budget of repeats.
-QUEUE_LIMIT_S = 1.0
+QUEUE_TIMEOUT_S = 1.0
 # A runner's report is some hundred milliseconds old.
-QUEUE_POLL_S = 0.15
+QUEUE_POLL_INTERVAL_S = 0.15
 # A new leader may not give orders at once, but runners may end their work
 # meanwhile, so that the first orders follow when it may.
-LEAD_S = 1.2
-POLL_S = 0.03
+EARLY_DRAIN_S = 1.2
+POLL_INTERVAL_S = 0.03
 # From the change of a status to the loads that routers cause after it.
-LOADS_LAG_S = 0.25
-AGAIN_S = 0.5
+LOAD_REPORT_LAG_S = 0.25
+RETRY_DELAY_S = 0.5
 
 
 @attrs.frozen
@@ -126,26 +126,26 @@
         name: str,
         orders: RunnerOrders,
         clock: Clock,
-        take_over_s: float,
+        takeover_delay_s: float,
     ):
         self._member = member
         self._name = name
         self._orders = orders
         self._clock = clock
-        self._take_over_s = take_over_s
+        self._takeover_delay_s = takeover_delay_s
         self._drained: set[str] = set()
         self._load_ended = anyio.Event()
         self._loading: set[str] = set()
         self._paused_until: dict[str, float] = {}
         self._term = 0
-        self._released = False
+        self._reactivated_loading = False
         self._may_order_at = 0.0
-        self._group: anyio.abc.TaskGroup | None = None
+        self._task_group: anyio.abc.TaskGroup | None = None
 
     def start(self, group: anyio.abc.TaskGroup, timers: Timers) -> None:
         """Subscribes to the timers; orders run in the task group."""
-        self._group = group
-        timers.every(CHECK_S, self._check)
+        self._task_group = group
+        timers.every(CHECK_INTERVAL_S, self._check)
 
     def _check(self, now: float) -> None:
         if self._member.leads_until() <= now:
@@ -154,20 +154,25 @@
         if self._term != self._member.term:
             self._term = self._member.term
             last_at = self._member.leader.endpoints.last_loading_at()
-            self._may_order_at = last_at + self._take_over_s
-            self._released = False
-            self._group.start_soon(self._release_loading)
-        if not self._released or now < self._may_order_at - LEAD_S:
+            self._may_order_at = last_at + self._takeover_delay_s
+            self._reactivated_loading = False
+            self._task_group.start_soon(self._reactivate_loading)
+        if (
+            not self._reactivated_loading
+            or now < self._may_order_at - EARLY_DRAIN_S
+        ):
             return
-        drains = CALM_DRAINS_AT_ONCE if self._is_calm() else DRAINS_AT_ONCE
-        most = min(self._loads_at_once() + drains, self._out_at_once())
+        drains = (
+            LOW_LOAD_EXTRA_DRAINS if self._is_lightly_loaded() else EXTRA_DRAINS
+        )
+        max_out = min(self._max_loads() + drains, self._max_out_of_use())
         for endpoint in self._due(now):
-            if len(self._loading) >= most:
+            if len(self._loading) >= max_out:
                 return
             self._loading.add(endpoint.id)
-            self._group.start_soon(self._bring_up, endpoint)
+            self._task_group.start_soon(self._update_runner, endpoint)
 
-    async def _release_loading(self) -> None:
+    async def _reactivate_loading(self) -> None:
         """Puts runners that an earlier leader took out back into use.
 
         They are free until this leader may give orders. One that still loads
@@ -178,7 +183,7 @@
                 await self._change(
                     endpoint, EndpointStatus.ACTIVE, "new leader"
                 )
-        self._released = True
+        self._reactivated_loading = True
 
     async def _change(
         self, endpoint: Endpoint, status: EndpointStatus, reason: str
@@ -187,11 +192,11 @@
             endpoint, status, reason
         )
 
-    def _loads_at_once(self) -> int:
+    def _max_loads(self) -> int:
         """Most loads at once; others must serve meanwhile."""
-        return max(1, min(LOADS_AT_ONCE, len(self._runners()) // 3))
+        return max(1, min(MAX_LOADS, len(self._runners()) // 3))
 
-    def _out_at_once(self) -> int:
+    def _max_out_of_use(self) -> int:
         """Most runners out of use at once; a third of them must serve."""
         return max(1, len(self._runners()) * 2 // 3)
 
@@ -209,7 +214,7 @@
             for e in self._runners()
             if e.id not in self._loading
             and self._paused_until.get(e.id, 0.0) <= now
-            and (self._lacks(e) or e.status is EndpointStatus.LOADING)
+            and (self._is_outdated(e) or e.status is EndpointStatus.LOADING)
         ]
         # Those that were taken out of use come first, then the oldest weights.
         return sorted(
@@ -220,7 +225,7 @@
             ),
         )
 
-    def _lacks(self, endpoint: Endpoint) -> bool:
+    def _is_outdated(self, endpoint: Endpoint) -> bool:
         """Tells whether a runner has older weights than those named."""
         held = endpoint.weights_number
         return any(
@@ -238,7 +243,7 @@
                 return NamedWeights(model, version)
         return None
 
-    async def _bring_up(self, endpoint: Endpoint) -> None:
+    async def _update_runner(self, endpoint: Endpoint) -> None:
         """Takes a runner out of use, orders the load and waits for its end."""
         try:
             await self._load(endpoint)
@@ -253,9 +258,9 @@
                 await self._change(
                     endpoint, EndpointStatus.SILENT, "refuses connections"
                 )
-            await self._put_back(endpoint)
+            await self._reactivate(endpoint)
         finally:
-            pause = self._clock.now() + AGAIN_S
+            pause = self._clock.now() + RETRY_DELAY_S
             self._paused_until[endpoint.id] = pause
             self._loading.discard(endpoint.id)
             self._drained.discard(endpoint.id)
@@ -276,7 +281,7 @@
             and await self._order(endpoint, wanted, state)
         ):
             await self._await_load(endpoint, wanted)
-        await self._put_back(endpoint)
+        await self._reactivate(endpoint)
 
     async def _await_load(
         self, endpoint: Endpoint, wanted: NamedWeights
@@ -287,13 +292,13 @@
         """
         until = self._clock.now() + LOAD_TIMEOUT_S
         while self._clock.now() < until:
-            held = self._current(endpoint)
+            held = self._stored_endpoint(endpoint)
             if held is None or held.weights_number >= wanted.version:
                 return
-            await anyio.sleep(POLL_S)
+            await anyio.sleep(POLL_INTERVAL_S)
         log("load_not_confirmed", endpoint=endpoint.id, version=wanted.version)
 
-    def _current(self, endpoint: Endpoint) -> Endpoint | None:
+    def _stored_endpoint(self, endpoint: Endpoint) -> Endpoint | None:
         """Returns what is stored of a runner; None if it is gone."""
         entry = self._member.state.endpoints.get(endpoint.id)
         if entry is None or (
@@ -302,51 +307,51 @@
             return None
         return entry.endpoint
 
-    async def _put_back(self, endpoint: Endpoint) -> None:
+    async def _reactivate(self, endpoint: Endpoint) -> None:
         """Puts a runner back into use."""
-        held = self._current(endpoint)
+        held = self._stored_endpoint(endpoint)
         if held is not None and held.status is EndpointStatus.LOADING:
             await self._change(endpoint, EndpointStatus.ACTIVE, "load ended")
 
-    def _drain_limit(self, endpoint: Endpoint) -> float:
+    def _drain_timeout_s(self, endpoint: Endpoint) -> float:
         """Longest wait in seconds for the end of what a runner runs."""
         loaded = any(
-            e.status is EndpointStatus.ACTIVE and not self._lacks(e)
+            e.status is EndpointStatus.ACTIVE and not self._is_outdated(e)
             for e in self._runners()
             if e.serves == endpoint.serves
         )
-        if self._is_calm():
-            return CALM_DRAIN_LIMIT_S
-        return DRAIN_LIMIT_S if loaded else FIRST_DRAIN_LIMIT_S
+        if self._is_lightly_loaded():
+            return LOW_LOAD_DRAIN_TIMEOUT_S
+        return DRAIN_TIMEOUT_S if loaded else FIRST_DRAIN_TIMEOUT_S
 
-    def _is_calm(self) -> bool:
+    def _is_lightly_loaded(self) -> bool:
         """Tells whether the runners could do with fewer of them."""
         runners = self._runners()
         requests = sum(self._member.leader.requests_at(e.id) for e in runners)
-        return requests < CALM_REQUESTS * len(runners)
+        return requests < LOW_LOAD_REQUESTS_PER_RUNNER * len(runners)
 
     async def _drain(self, endpoint: Endpoint) -> RunnerState:
         """Waits until nothing runs and a load may begin, within a limit."""
-        until = self._clock.now() + self._drain_limit(endpoint)
+        until = self._clock.now() + self._drain_timeout_s(endpoint)
         # Routers learn of the status first, and their loads come after that.
-        await anyio.sleep(LOADS_LAG_S)
+        await anyio.sleep(LOAD_REPORT_LAG_S)
         while self._clock.now() < until:
             if not self._member.leader.requests_at(endpoint.id):
                 break
-            await anyio.sleep(POLL_S)
+            await anyio.sleep(POLL_INTERVAL_S)
         await self._await_queue(endpoint)
-        while len(self._drained) >= self._loads_at_once():
+        while len(self._drained) >= self._max_loads():
             await self._load_ended.wait()
         self._drained.add(endpoint.id)
         return await self._orders.report(endpoint)
 
     async def _await_queue(self, endpoint: Endpoint) -> None:
         """Waits until a runner has begun what it took, within a limit."""
-        until = self._clock.now() + QUEUE_LIMIT_S
+        until = self._clock.now() + QUEUE_TIMEOUT_S
         while (await self._orders.report(endpoint)).queued:
             if self._clock.now() >= until:
                 return
-            await anyio.sleep(QUEUE_POLL_S)
+            await anyio.sleep(QUEUE_POLL_INTERVAL_S)
 
     def _may_order(self, term: int) -> bool:
         now = self._clock.now()
