--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -26,7 +26,7 @@
 )
 
 LOAD_S = 0.3
-TAKE_OVER_S = 0.6
+TAKEOVER_DELAY_S = 0.6
 MODEL = "m"
 # Above the load at which more runners may drain at once.
 BUSY_REQUESTS = 5
@@ -81,7 +81,7 @@
     version: int
     accepted: int = 0
     loading: bool = False
-    mute_orders: int = 0
+    unanswered_orders: int = 0
     queue_ends_at: float = 0.0
 
 
@@ -95,7 +95,7 @@
         self.orders: list[tuple[str, LoadWeightsOrder]] = []
         self.stale: list[LoadWeightsOrder] = []
         self.most_loading = 0
-        self.cut_queues = 0
+        self.interrupted_queues = 0
 
     async def report(self, endpoint: Endpoint) -> RunnerState:
         """Tells a runner's state."""
@@ -109,10 +109,10 @@
         """Starts a load, unless the order is out of date."""
         runner = self.runners[endpoint.id]
         self.orders.append((endpoint.id, order))
-        if runner.mute_orders:
-            runner.mute_orders -= 1
+        if runner.unanswered_orders:
+            runner.unanswered_orders -= 1
             raise ExchangeError(RetryReason.ANSWER_TIMEOUT, "mute", True)
-        self.cut_queues += Clock().now() < runner.queue_ends_at
+        self.interrupted_queues += Clock().now() < runner.queue_ends_at
         if order.expected_orders != runner.accepted or runner.loading:
             self.stale.append(order)
             return False
@@ -140,7 +140,11 @@
 @given("a leading member and {count:d} runners with weights {version:d}")
 def leading_member(context, count, version):
     context.versions = {i: version for i in range(1, count + 1)}
-    context.takeover_delay_s, context.mute, context.queues = 0.0, (), {}
+    context.takeover_delay_s, context.unanswered_runners, context.queues = (
+        0.0,
+        (),
+        {},
+    )
     context.requests = BUSY_REQUESTS
     context.named, context.loses_lead, context.taken_out = [], False, ()
 
@@ -151,7 +155,7 @@
 )
 def new_leader(context, count, version):
     leading_member(context, count, version)
-    context.takeover_delay_s = TAKE_OVER_S
+    context.takeover_delay_s = TAKEOVER_DELAY_S
 
 
 @given("runner {number:d} has weights {version:d}")
@@ -166,7 +170,7 @@
 
 @given("runner {number:d} answers its first order not at all")
 def mute_runner(context, number):
-    context.mute = (number,)
+    context.unanswered_runners = (number,)
 
 
 @when("weights {version:d} are named")
@@ -187,7 +191,7 @@
     context.named = [(0.0, version)]
 
 
-async def play(context, until, limit_s: float) -> None:
+async def run_rollout(context, until, limit_s: float) -> None:
     """Runs a roll-out until a condition holds or the time is over."""
     member = FakeMember()
     timers = Timers(Clock())
@@ -196,11 +200,11 @@
         for number, version in context.versions.items():
             endpoint = runner_endpoint(number, version)
             member.apply(Announce(endpoint))
-            muted = int(number in context.mute)
+            muted = int(number in context.unanswered_runners)
             queue_s = context.queues.get(number, 0.0)
             orders.runners[endpoint.id] = FakeRunner(
                 *(endpoint, version),
-                mute_orders=muted,
+                unanswered_orders=muted,
                 queue_ends_at=Clock().now() + queue_s,
             )
         for number in context.taken_out:
@@ -233,7 +237,7 @@
             for e in member.state.endpoints.values()
         )
 
-    anyio.run(play, context, reached, limit)
+    anyio.run(run_rollout, context, reached, limit)
     assert reached(context.member), context.member.state.endpoints
 
 
@@ -257,13 +261,13 @@
         found = member.state.endpoints[f"r{number}"].endpoint
         return found.status is EndpointStatus.ACTIVE
 
-    anyio.run(play, context, back, TAKE_OVER_S / 2)
+    anyio.run(run_rollout, context, back, TAKEOVER_DELAY_S / 2)
     assert back(context.member)
 
 
 @then("no order is given within {limit:f} s")
 def no_order(context, limit):
-    anyio.run(play, context, lambda member: False, limit)
+    anyio.run(run_rollout, context, lambda member: False, limit)
     assert context.orders.orders == []
 
 
@@ -280,17 +284,19 @@
 @then("{count:d} runners were ordered while requests were in their queues")
 @then("{count:d} runner was ordered while requests were in its queue")
 def queues_cut(context, count):
-    assert context.orders.cut_queues == count, context.orders.cut_queues
+    assert context.orders.interrupted_queues == count, (
+        context.orders.interrupted_queues
+    )
 
 
 @given("a new leader may give no order for {seconds:f} s")
-def takes_over(context, seconds):
+def set_takeover_delay(context, seconds):
     context.takeover_delay_s = seconds
 
 
 @then("the first order is given within {limit:f} s")
 def first_order(context, limit):
-    anyio.run(play, context, lambda member: False, limit)
+    anyio.run(run_rollout, context, lambda member: False, limit)
     assert context.orders.orders, "no order was given"
 
 
