--- a/knapweedarch/admission.py
+++ b/knapweedarch/admission.py
@@ -1,10 +1,10 @@
-"""Customer limits, waiting requests, and the order in which they are served.
+"""Customer limits and the queue of waiting requests.
 
-Waiting requests are ordered by class; within a class, customers share by
-start-time fair queueing over prompt tokens. A class may fill a runner only
-up to its limit, which keeps places for the classes above it; a request that
-has waited long enough is treated as one class higher, so that no class
-starves.
+Requests are ordered by class. Within a class, customers share capacity by
+start-time fair queueing over prompt and output tokens. Each class may fill a
+runner only up to its limit, which reserves slots for higher classes. A
+request is treated as one class higher after each ageing interval, so that no
+class starves.
 """
 
 import heapq
@@ -15,19 +15,19 @@
 
 from knapweedarch import models
 
-# Rate limits admit bursts of up to this many seconds' worth of requests.
+# Capacity of a customer's token bucket, in seconds of its request rate.
 BURST_S = 2.0
 
 
 @attrs.frozen
 class AdmissionConfig:
-    """Limits of the queue.
+    """Configuration of the queue.
 
     Attributes:
-        fill: Requests in batch and queue of a runner, as a part of its
-            slots, up to which each class is sent.
-        age_s: Wait after which a request counts as one class higher.
-        queue_limit: Most waiting requests of one model.
+        fill: Highest occupancy of a runner, as a fraction of its slots, at
+            which each class is still dispatched.
+        ageing_s: Waiting time per class by which a request is raised.
+        queue_limit: Maximum number of waiting requests per model.
     """
 
     fill: dict[models.Priority, float] = attrs.field(
@@ -51,13 +51,13 @@
 
 
 class CustomerLimits:
-    """Rate and concurrency limits of customers."""
+    """Rate and concurrency limits per customer."""
 
     def __init__(self) -> None:
         self._customers: dict[str, _CustomerState] = {}
 
     def set_rules(self, rules: models.Rules) -> None:
-        """Takes over new rules; counts of known customers continue."""
+        """Applies new rules; counters of known customers are kept."""
         old = self._customers
         self._customers = {}
         for rule in rules.customers:
@@ -66,16 +66,16 @@
             self._customers[rule.name] = state
 
     def share(self, customer: str) -> float:
-        """Weight of a customer in the fair sharing."""
+        """Returns the customer's weight in fair queueing."""
         state = self._customers.get(customer)
         return state.rule.share if state and state.rule.share > 0 else 1.0
 
     def admit(self, ticket: models.Ticket, now: float) -> float | None:
-        """Counts a request if its customer's limits allow it.
+        """Admits and counts a request if its customer's limits allow it.
 
         Returns:
-            None if admitted, otherwise seconds after which a new try is
-            worth it.
+            None if admitted, otherwise the delay in seconds after which the
+            caller should retry.
         """
         state = self._customers.get(ticket.customer)
         if state is None:
@@ -95,7 +95,7 @@
         return None
 
     def resume(self, ticket: models.Ticket) -> None:
-        """Counts a request again that is retried."""
+        """Counts a retried request again."""
         state = self._customers.get(ticket.customer)
         if state is not None:
             state.active.add(ticket.id)
@@ -109,16 +109,16 @@
 
 @attrs.define
 class QueuedRequest:
-    """A request that waits.
+    """A waiting request.
 
     Attributes:
         ticket: The request.
-        since: Arrival in the queue, in seconds.
-        not_before: Earliest dispatch, for the back-off of a retry.
-        avoid: Runners that failed this request.
-        tag: Start tag of the fair queueing.
-        tried_at: When a runner was last looked for.
-        target: Runner that it waits for; empty if none was chosen yet.
+        queued_at: Time at which it was queued, in seconds.
+        not_before: Earliest dispatch time, set by the back-off of a retry.
+        avoid: Ids of runners that failed this request.
+        start_tag: Start tag of fair queueing.
+        last_tried_at: Time of the last placement attempt.
+        target: Id of the runner that it waits for; empty if none is chosen.
     """
 
     ticket: models.Ticket
@@ -131,7 +131,7 @@
 
 
 class RequestQueue:
-    """Requests of one model that wait for a runner."""
+    """Queue of the requests for one model."""
 
     def __init__(self, cfg: AdmissionConfig):
         self._cfg = cfg
@@ -146,7 +146,7 @@
         return iter(list(self._waiting.values()))
 
     def is_full(self) -> bool:
-        """Tells whether no further request may wait."""
+        """Returns whether the queue limit is reached."""
         return len(self._waiting) >= self._cfg.queue_limit
 
     def add(self, entry: QueuedRequest, share: float) -> None:
@@ -163,18 +163,18 @@
         self._waiting[ticket.id] = entry
 
     def remove(self, ticket_id: str) -> QueuedRequest | None:
-        """Takes a request out of the queue."""
+        """Removes a request; returns None if it was not queued."""
         return self._waiting.pop(ticket_id, None)
 
     def mark_dispatched(self, entry: QueuedRequest) -> None:
-        """Takes out a dispatched request and advances the virtual time."""
+        """Removes a dispatched request and advances the virtual time."""
         self.remove(entry.ticket.id)
         priority = entry.ticket.priority
         virtual = self._virtual_time.get(priority, 0.0)
         self._virtual_time[priority] = max(virtual, entry.start_tag)
 
     def least_recently_tried(self, count: int, now: float) -> set[str]:
-        """Ids of the requests that were not tried for the longest time."""
+        """Returns the ids of the least recently tried requests."""
         ready = (w for w in self._waiting.values() if w.not_before <= now)
         oldest = heapq.nsmallest(count, ready, key=lambda w: w.last_tried_at)
         return {w.ticket.id for w in oldest}
@@ -182,26 +182,27 @@
     def ranked(
         self, entries: Iterable[QueuedRequest], now: float
     ) -> list[QueuedRequest]:
-        """Sorts requests into the order in which they are served."""
+        """Sorts requests in dispatch order."""
         return sorted(entries, key=lambda w: self._order(w, now))
 
     def _order(
         self, entry: QueuedRequest, now: float
     ) -> tuple[int, bool, float, float]:
-        """Sort key; requests of lower classes come first once raised.
+        """Returns the sort key; raised requests precede those of the class.
 
-        Tags of different classes cannot be compared.
+        Raised requests are separate because start tags of different classes
+        cannot be compared.
         """
         rank = self.rank(entry, now)
         raised = rank < entry.ticket.priority
         return rank, not raised, entry.start_tag, entry.queued_at
 
     def rank(self, entry: QueuedRequest, now: float) -> int:
-        """Class of a request after ageing."""
+        """Returns the class of a request after ageing."""
         priority = int(entry.ticket.priority)
         raised = int((now - entry.queued_at) / self._cfg.ageing_s)
         return max(min(priority, int(models.Priority.GUEST)), priority - raised)
 
     def fill_limit(self, rank: int) -> float:
-        """Part of a runner's slots that a class may fill."""
+        """Returns the fraction of a runner's slots that a class may fill."""
         return self._cfg.fill[models.Priority(rank)]
--- a/knapweedarch/dispatcher.py
+++ b/knapweedarch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Lets requests wait for the scheduler's decision."""
+"""Waits for the scheduler's decisions on requests."""
 
 import anyio
 import attrs
@@ -25,7 +25,7 @@
 
 
 class Dispatcher:
-    """Asks the scheduler again as long as a request waits."""
+    """Polls the scheduler while requests wait for a decision."""
 
     def __init__(self, scheduler: Scheduler, timers: Timers):
         self._scheduler = scheduler
@@ -35,18 +35,18 @@
 
     @property
     def waiting(self) -> int:
-        """Number of requests that wait."""
+        """Number of waiting requests."""
         return len(self._waiting)
 
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
-        """Waits for the decision on a request."""
+        """Submits a request and waits for the decision on it."""
         decision = self._scheduler.submit(ticket, self._timers.clock.now())
         return await self._await_decision(ticket, decision)
 
     async def place_retry(
         self, ticket: Ticket, failed: Attempt
     ) -> Dispatch | Refuse:
-        """Waits for the decision on a further attempt."""
+        """Requests a further attempt and waits for the decision on it."""
         now = self._timers.clock.now()
         return await self._await_decision(
             ticket, self._scheduler.retry(ticket, failed, now)
@@ -71,7 +71,7 @@
     def _release(
         self, ticket_id: str, decision: Dispatch | Refuse | None
     ) -> None:
-        """Frees what a request holds whose caller left."""
+        """Releases the scheduler state of a request whose caller left."""
         now = self._timers.clock.now()
         match decision:
             case None:
--- a/knapweedarch/endpoint_table.py
+++ b/knapweedarch/endpoint_table.py
@@ -1,4 +1,4 @@
-"""Endpoints that a router knows, and the feeds of the runners among them."""
+"""Endpoints known to a router, and the feeds of its runners."""
 
 import random
 from collections.abc import Sequence
@@ -29,7 +29,7 @@
 
 
 class EndpointTable:
-    """Takes over endpoints from grants and follows the feeds of runners."""
+    """Keeps the endpoints received with grants and follows runner feeds."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._task_group: anyio.abc.TaskGroup | None = None
 
     def start(self, group: anyio.abc.TaskGroup) -> None:
-        """Gives the task group in which feeds are followed."""
+        """Sets the task group in which feeds are followed."""
         self._task_group = group
 
     def all(self) -> list[Endpoint]:
@@ -60,7 +60,7 @@
         return list(self._endpoints.values())
 
     def active_count(self) -> int:
-        """Counts the endpoints that may get new work."""
+        """Returns the number of endpoints that may get new work."""
         return sum(
             e.status is EndpointStatus.ACTIVE for e in self._endpoints.values()
         )
@@ -80,10 +80,11 @@
         return self._distances_ms.get(endpoint.data_centre, DEFAULT_DISTANCE_MS)
 
     def needs_announcement(self, endpoint: Endpoint) -> bool:
-        """Tells whether an announcement must go to the members.
+        """Returns whether an announcement must be forwarded to the members.
 
-        What this router already applies is none. A leaving endpoint is told
-        only after all routers know, so this router's knowledge is not enough.
+        An announcement that this router already applies is not forwarded. One
+        of a leaving endpoint is, because the endpoint is answered only after
+        all routers know of it, not only this one.
         """
         if self._announced.get(endpoint.id) == endpoint:
             return endpoint.id not in self._endpoints
@@ -91,11 +92,11 @@
         return known != endpoint or endpoint.status is EndpointStatus.LEAVING
 
     def mark_announced(self, endpoint: Endpoint) -> None:
-        """Notes that the members have an announcement."""
+        """Records that the members have received an announcement."""
         self._announced[endpoint.id] = endpoint
 
     def update(self, entries: Sequence[EndpointEntry]) -> None:
-        """Takes over changed endpoints."""
+        """Applies changed endpoints."""
         for entry in entries:
             endpoint = entry.endpoint
             before = self._endpoints.get(endpoint.id)
@@ -133,7 +134,7 @@
                     self._scheduler.endpoint_lost(
                         endpoint.id, self._clock.now()
                     )
-                # An endpoint that is gone for good costs little to look for.
+                # The growing pause limits the cost of an endpoint that is gone.
                 await anyio.sleep(pause * self._random.uniform(0.5, 1.0))
                 pause = min(2 * pause, FEED_RETRY_MAX_S)
 
--- a/knapweedarch/feeds.py
+++ b/knapweedarch/feeds.py
@@ -1,4 +1,4 @@
-"""Events of a runner's feed."""
+"""Parses the events of a runner's feed."""
 
 from knapweedarch.models import (
     CacheChange,
@@ -13,14 +13,14 @@
 
 
 def parse_feed_event(body: dict, endpoint: Endpoint) -> FeedItem:
-    """Parses one event.
+    """Parses one feed event.
 
     Raises:
-        ValueError, TypeError, KeyError: The event is malformed or of another
-            incarnation.
+        ValueError, TypeError, KeyError: The event is malformed or belongs to
+            another incarnation.
     """
     if body["incarnation"] != endpoint.incarnation:
-        raise ValueError(f"the feed is of incarnation {body['incarnation']}")
+        raise ValueError(f"feed event is of incarnation {body['incarnation']}")
     source = endpoint.id, endpoint.incarnation
     match body["type"]:
         case "load":
--- a/knapweedarch/index.py
+++ b/knapweedarch/index.py
@@ -1,14 +1,14 @@
-"""Knowledge of what each runner has in its prefix cache.
+"""Index of the blocks in the prefix cache of each runner.
 
-One table maps a block hash to a bit mask of runners. Its entries come from
-cache events. A second, small table holds what this router's own requests are
-expected to have stored and no event has confirmed yet; its entries expire.
+One table maps a block hash to a bit mask of runners and is updated by cache
+events. A second, small table holds the blocks that requests of this router
+are expected to have stored and that no event has confirmed; they expire.
 
-The hash of a block already covers customer, model and weights version. A
-runner owns its bit for one incarnation only: a new incarnation or a gap in
-the event numbers gives it a fresh bit, which drops all of its entries at
-once. The retired bit is cleared from the table in bounded steps and reused
-after that.
+The hash of a block covers customer, model and weights version. A runner has
+its bit for one incarnation only: a new incarnation or a gap in the event
+numbers assigns a new bit, which invalidates all entries of the runner at
+once. The retired bit is cleared from the table in bounded steps and then
+reused.
 """
 
 import collections
@@ -17,24 +17,24 @@
 
 from knapweedarch import models
 
-# Time after which an own request's blocks count as absent unless an event or
-# an answer has confirmed them. Covers prefill and the lag of events.
+# Time after which the assumed blocks of a request count as absent unless a
+# cache event or an answer has confirmed them. Covers prefill and event lag.
 ASSUMED_TTL_S = 4.0
 
-# Table entries looked at per event while a retired bit is cleared. Bounds
-# the cost of an event.
+# Table entries examined per event while retired bits are cleared. Bounds the
+# cost of an event.
 SWEEP_ENTRIES_PER_EVENT = 64
 
 
 @attrs.define
 class FeedState:
-    """State of the event feed of one runner.
+    """State of the cache event feed of one runner.
 
     Attributes:
-        incarnation: Incarnation that the entries belong to.
-        bit: Bit of the runner in the masks, as a power of two.
+        incarnation: Incarnation of the runner.
+        bit: The runner's bit in the masks, a power of two.
         next_number: Number of the next event; None before the first one.
-        blocks: Number of blocks in the table.
+        blocks: Number of confirmed blocks of the runner in the table.
     """
 
     incarnation: str
@@ -44,7 +44,7 @@
 
 
 class CacheIndex:
-    """Block hashes by runner, with chain look-up."""
+    """Block hashes by runner, with prefix look-up."""
 
     def __init__(self, assumed_ttl_s: float = ASSUMED_TTL_S):
         self._assumed_ttl_s = assumed_ttl_s
@@ -64,18 +64,18 @@
         self._gaps: set[str] = set()
 
     def __len__(self) -> int:
-        """Number of different blocks in the table."""
+        """Returns the number of distinct confirmed blocks."""
         return len(self._table)
 
     def set_endpoint(self, endpoint_id: str, incarnation: str) -> None:
-        """Adds a runner, or drops its entries if its incarnation is new."""
+        """Adds a runner, or drops its entries if its incarnation changed."""
         feed = self._feeds.get(endpoint_id)
         if feed is None or feed.incarnation != incarnation:
             self._open_feed(endpoint_id, incarnation)
             self._gaps.add(endpoint_id)
 
     def drop_endpoint(self, endpoint_id: str) -> None:
-        """Forgets a runner and its entries."""
+        """Removes a runner and its entries."""
         feed = self._feeds.pop(endpoint_id, None)
         self._gaps.discard(endpoint_id)
         if feed is not None:
@@ -85,8 +85,8 @@
         """Applies a cache event.
 
         Returns:
-            False if the event was ignored: unknown runner, other
-            incarnation, or a number seen before.
+            False if the event was ignored because of an unknown runner,
+            another incarnation or a repeated number.
         """
         feed = self._feeds.get(event.endpoint_id)
         if feed is None or feed.incarnation != event.incarnation:
@@ -112,8 +112,8 @@
         """Replaces the entries of a runner.
 
         Returns:
-            False if the snapshot was ignored: unknown runner, other
-            incarnation, or older than an event applied before.
+            False if the snapshot was ignored because of an unknown runner or
+            another incarnation, or because a later event was applied.
         """
         feed = self._feeds.get(snapshot.endpoint_id)
         if feed is None or feed.incarnation != snapshot.incarnation:
@@ -130,9 +130,9 @@
         return True
 
     def pop_gaps(self) -> list[str]:
-        """Returns and forgets the runners that need a snapshot.
+        """Returns and clears the runners that need a snapshot.
 
-        These are new runners, new incarnations, and runners with a gap in
+        These are new runners, new incarnations and runners with a gap in
         their events.
         """
         gaps, self._gaps = sorted(self._gaps), set()
@@ -141,7 +141,7 @@
     def assume(
         self, endpoint_id: str, blocks: tuple[int, ...], now: float
     ) -> None:
-        """Notes that a runner has, or is about to have, these blocks."""
+        """Adds unconfirmed blocks that a runner has or is about to store."""
         feed = self._feeds.get(endpoint_id)
         if feed is None:
             return
@@ -154,11 +154,11 @@
             self._expiry_queue.append((until, block, feed.bit))
 
     def depths(self, blocks: tuple[int, ...], now: float) -> dict[str, int]:
-        """Finds how many leading blocks each runner has.
+        """Returns how many leading blocks each runner has.
 
         Returns:
-            Length of the cached prefix in blocks by runner; runners without
-            the first block are left out.
+            Length of the cached prefix in blocks by runner id, without the
+            runners that lack the first block.
         """
         self._expire(now)
         found: dict[str, int] = {}
@@ -175,7 +175,7 @@
         return found
 
     def block_count(self, endpoint_id: str) -> int:
-        """Number of confirmed blocks of a runner."""
+        """Returns the number of confirmed blocks of a runner."""
         feed = self._feeds.get(endpoint_id)
         return feed.blocks if feed else 0
 
@@ -259,7 +259,7 @@
             self._sweep_mask = 0
 
     def _free_bits(self, mask: int) -> None:
-        """Makes swept bits available, unless an assumption still uses one."""
+        """Frees cleared bits unless an unexpired assumption still uses them."""
         for _, bit in self._expiry:
             if mask & bit:
                 self._retired_mask |= bit
--- a/knapweedarch/loads.py
+++ b/knapweedarch/loads.py
@@ -1,7 +1,7 @@
-"""What a router knows about the load of its runners.
+"""Load estimates of runners.
 
-Load reports arrive late. The router adds its own sends that a report does
-not include yet, and takes off its own attempts that ended since.
+Load reports arrive with a delay. The router adds its own attempts that a
+report does not include yet, and subtracts those that ended after it.
 """
 
 import math
@@ -10,24 +10,24 @@
 
 from knapweedarch import models
 
-# Own sends older than this count as included in a report of a runner that
-# does not tell which attempts its report includes. Two report intervals.
+# Attempts of this router that are older than this count as included in a report
+# without an acknowledged attempt number. Two report intervals.
 UNACKNOWLEDGED_LAG_S = 0.5
 
 
 def is_urgent(priority: models.Priority) -> bool:
-    """Tells whether runners serve a class before the work of all others."""
+    """Returns whether runners serve a class before all other work."""
     return priority <= models.Priority.GUEST
 
 
 @attrs.define
 class PendingSend:
-    """An own attempt that no report includes yet.
+    """An attempt of this router that no report includes yet.
 
     Attributes:
         tokens: Prompt tokens that the runner has to compute for it.
         urgent: Whether it is a guest's request or an availability check.
-        sent_at: When it was sent, in seconds.
+        sent_at: Time at which it was sent, in seconds.
     """
 
     tokens: int
@@ -40,17 +40,19 @@
     """Load of one runner.
 
     Attributes:
-        running: Reported requests in the batch.
-        queued: Reported requests waiting.
+        running: Reported number of requests in the batch.
+        queued: Reported number of queued requests.
         queued_tokens: Reported prompt tokens not yet computed.
-        urgent_tokens: The part of them that belongs to guests and
-            availability checks; all of them if the runner does not tell.
-        reported_at: Arrival of the report on this router's clock.
-        finished: Own attempts that the report includes and that ended since.
-        pending: Own attempts that the report does not include, by number.
-        awaiting: Requests by class in this router's queue that wait for this
-            runner.
-        ramp_from: When slow start began; minus infinity if it did not.
+        urgent_tokens: Part of `queued_tokens` that belongs to guests and
+            availability checks; all of them if the runner does not report it.
+        reported_at: Arrival time of the report on this router's clock.
+        ended_since_report: Number of this router's attempts that the report
+            includes and that ended after it.
+        pending: Attempts of this router that the report does not include, by
+            number.
+        waiting_by_class: Number of requests by class in this router's queue
+            that wait for this runner.
+        slow_start_at: Start of slow start; minus infinity without one.
     """
 
     running: int = 0
@@ -66,7 +68,7 @@
     slow_start_at: float = -math.inf
 
     def apply_report(self, report: models.LoadReport, now: float) -> None:
-        """Takes over a report and forgets the sends that it includes."""
+        """Applies a report and drops the pending attempts it includes."""
         self.running, self.queued = report.running, report.queued
         self.queued_tokens = report.queued_tokens
         self.urgent_tokens = (
@@ -84,31 +86,32 @@
     def record_send(
         self, number: int, tokens: int, urgent: bool, now: float
     ) -> None:
-        """Notes an own attempt."""
+        """Adds an attempt of this router."""
         self.pending[number] = PendingSend(tokens, urgent, now)
 
     def record_prefill(self, number: int) -> None:
-        """Notes that the prompt of an own attempt is computed."""
+        """Records that the prompt of an attempt has been computed."""
         if number in self.pending:
             self.pending[number].tokens = 0
 
     def record_end(self, number: int) -> None:
-        """Notes the end of an own attempt."""
+        """Records the end of an attempt of this router."""
         if self.pending.pop(number, None) is None:
             self.ended_since_report += 1
 
     def reported_requests(self) -> int:
-        """Requests of the last report, without own ones that ended since."""
+        """Returns the reported requests less those that ended since."""
         return max(0, self.running + self.queued - self.ended_since_report)
 
     def tokens_ahead(
         self, priority: models.Priority, pending_weight: float
     ) -> float:
-        """Prompt tokens computed before those of a new request.
+        """Estimates the prompt tokens computed before a new request.
 
         Args:
             priority: Class of the new request.
-            pending_weight: Sends by all routers per own pending send.
+            pending_weight: Estimated attempts of all routers per pending
+                attempt of this router.
         """
         if is_urgent(priority):
             own = sum(s.tokens for s in self.pending.values() if s.urgent)
--- a/knapweedarch/models.py
+++ b/knapweedarch/models.py
@@ -6,7 +6,7 @@
 
 
 class Outcome(str, enum.Enum):
-    """Whether a refused or failed request was run."""
+    """Whether a refused or failed request was executed."""
 
     NOT_RUN = "not_run"
     RUN = "run"
@@ -14,7 +14,7 @@
 
 
 class RefusalReason(str, enum.Enum):
-    """Machine-readable reason of a refusal; each has its own counter."""
+    """Machine-readable refusal reason; each has its own counter."""
 
     BAD_BODY = "bad_body"
     BODY_TOO_LARGE = "body_too_large"
@@ -45,7 +45,7 @@
 
 
 class RequestEnd(str, enum.Enum):
-    """How a request of a caller ended."""
+    """Result of a caller's request."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -55,7 +55,7 @@
 
 
 class RetryReason(str, enum.Enum):
-    """Why an attempt ended without an answer; each has its own counter."""
+    """Reason for the failure of an attempt; each has its own counter."""
 
     CONNECT_REFUSED = "connect_refused"
     CONNECTION_CLOSED = "connection_closed"
@@ -81,7 +81,7 @@
 
 
 class EndpointKind(str, enum.Enum):
-    """What an endpoint is."""
+    """Kind of an endpoint."""
 
     RUNNER = "runner"
     SERVICE = "service"
@@ -98,20 +98,20 @@
 
 @attrs.frozen
 class Endpoint:
-    """An endpoint as announced.
+    """An endpoint as it announced itself.
 
     Attributes:
-        id: Name chosen by the endpoint, stable over restarts.
-        incarnation: Random text drawn at each start of the endpoint; cache
-            entries of another incarnation do not exist any more.
-        url: Base URL with an IP number.
+        id: Name chosen by the endpoint, stable across restarts.
+        incarnation: Random string generated at each start of the endpoint;
+            cache entries of another incarnation no longer exist.
+        url: Base URL with an IP address.
         kind: Runner or plain service.
         serves: Model names of a runner, or the service name of a service.
         weights_version: Version of the loaded weights; empty for services.
         data_centre: Data centre of the endpoint.
-        slots: Requests that the endpoint runs at once without queueing.
+        slots: Requests that the endpoint runs concurrently without queueing.
         cache_blocks: Capacity of the prefix cache in blocks.
-        checks_fencing: Whether the endpoint refuses old fencing numbers.
+        checks_fencing: Whether the endpoint refuses outdated fencing numbers.
         status: Whether the endpoint may get new work.
     """
 
@@ -129,34 +129,34 @@
 
     @property
     def address(self) -> str:
-        """IP number and port of the URL."""
+        """IP address and port of the URL."""
         return self.url.removeprefix("http://")
 
     @property
     def in_use(self) -> bool:
-        """Whether it runs and stays; one that loads weights takes no work."""
+        """Whether it is active or loading; a loading one gets no work."""
         return self.status in (EndpointStatus.ACTIVE, EndpointStatus.LOADING)
 
     @property
     def weights_number(self) -> int:
-        """Version of the weights where versions are numbers; 0 for none."""
+        """Weights version where versions are numbers; 0 for none."""
         return int(self.weights_version or 0)
 
 
 @attrs.frozen
 class LoadReport:
-    """Load of a runner, as it was `age_s` seconds before it arrived.
+    """Load of a runner at the time of the report.
 
     Attributes:
         endpoint_id: Reporting runner.
         incarnation: Incarnation of the runner.
-        running: Requests in the current batch.
-        queued: Requests that wait for a place in the batch.
+        running: Number of requests in the current batch.
+        queued: Number of requests that wait for a slot of the batch.
         queued_tokens: Prompt tokens not yet prefilled, cached ones excluded.
         acknowledged: Highest attempt number of this router that the report
-            includes; 0 if the runner does not tell.
+            includes; 0 if the runner does not report it.
         urgent_tokens: Part of `queued_tokens` that belongs to the classes
-            availability and guest; None if the runner does not tell.
+            availability and guest; None if the runner does not report it.
     """
 
     endpoint_id: str
@@ -184,8 +184,8 @@
         endpoint_id: Runner whose cache changed.
         incarnation: Incarnation of the runner.
         number: Consecutive number of the event in this incarnation.
-        change: What happened.
-        blocks: Hashes of the blocks concerned, in chain order.
+        change: Kind of the change.
+        blocks: Hashes of the affected blocks, in prompt order.
     """
 
     endpoint_id: str
@@ -197,7 +197,7 @@
 
 @attrs.frozen
 class CacheSnapshot:
-    """The whole prefix cache of a runner.
+    """The complete prefix cache of a runner.
 
     Attributes:
         endpoint_id: The runner.
@@ -218,17 +218,18 @@
     """A request as the scheduler sees it.
 
     Attributes:
-        id: Request identity, unique in this router's incarnation.
+        id: Id of the request, unique in this router's incarnation.
         customer: Customer name.
         model: Model name.
         priority: Class of the request.
         blocks: Chained hashes of the prompt's full blocks.
         prompt_tokens: Length of the prompt in tokens.
-        max_tokens: Most tokens to generate.
-        deadline: Time by which the first token must come, on the router's
+        max_tokens: Maximum number of tokens to generate.
+        deadline: Time by which the first token must arrive, on the router's
             clock in seconds.
-        weights_version: Version required, when a stream is resumed.
-        arrived_at: When the request arrived, on the router's clock in seconds.
+        weights_version: Required version of a resumed stream, otherwise empty.
+        arrived_at: Arrival time of the request on the router's clock in
+            seconds.
     """
 
     id: str
@@ -245,13 +246,13 @@
 
 @attrs.frozen
 class Attempt:
-    """One try of a request at one endpoint.
+    """One attempt to run a request on one endpoint.
 
     Attributes:
         number: Number of the attempt, unique in this router's incarnation.
         ticket: The request.
-        endpoint: The endpoint as known at the choice.
-        cached_blocks: Blocks expected to be in the endpoint's cache.
+        endpoint: The endpoint as known when it was chosen.
+        cached_blocks: Number of blocks expected in the endpoint's cache.
     """
 
     number: int
@@ -262,23 +263,23 @@
 
 @attrs.frozen
 class Dispatch:
-    """Decision: send the request now."""
+    """Decision to send the request now."""
 
     attempt: Attempt
 
 
 @attrs.frozen
 class Wait:
-    """Decision: the request waits; `Scheduler.poll` returns it later."""
+    """Decision to queue the request; `Scheduler.poll` returns it later."""
 
 
 @attrs.frozen
 class Refuse:
-    """Decision: the request is refused without having been run.
+    """Decision to refuse the request without executing it.
 
     Attributes:
-        reason: Why.
-        retry_after_s: When a new try is worth it, in seconds.
+        reason: Reason of the refusal.
+        retry_after_s: Delay in seconds after which the caller should retry.
     """
 
     reason: RefusalReason
@@ -290,13 +291,13 @@
 
 @attrs.frozen
 class AttemptResult:
-    """How an attempt ended.
+    """Result of an attempt.
 
     Attributes:
-        failure: Why it failed; None after a whole answer.
-        cached_tokens: Prompt tokens found in the cache, as the endpoint told;
-            None if it did not.
-        cancelled: Whether the caller left before the end.
+        failure: Reason of the failure; None after a complete answer.
+        cached_tokens: Prompt tokens found in the cache, as reported by the
+            endpoint; None if not reported.
+        cancelled: Whether the caller disconnected before the end.
     """
 
     failure: RetryReason | None = None
@@ -306,17 +307,17 @@
 
 @attrs.frozen
 class CustomerRule:
-    """Limits and rights of one customer.
+    """Limits and permissions of one customer.
 
     Attributes:
         name: Customer name.
         key_digest: SHA-256 of the API key in hexadecimal.
-        priority: Class when the request names none, and the best it may name.
-        rate: Requests per second; 0 means no limit.
-        concurrent: Requests at once; 0 means no limit.
-        share: Weight in the fair sharing of a model.
-        models: Models it may use; empty means all.
-        asked_by: Who asked for the rule.
+        priority: Default class of a request and the highest it may specify.
+        rate: Maximum requests per second; 0 means no limit.
+        concurrent: Maximum number of concurrent requests; 0 means no limit.
+        share: Weight in fair queueing for a model.
+        models: Models that the customer may use; empty means all.
+        asked_by: Who requested the rule.
     """
 
     name: str
@@ -331,13 +332,13 @@
 
 @attrs.frozen
 class ModelRule:
-    """How a model is served.
+    """Rule of a model.
 
     Attributes:
         name: Model name.
         version: Required weights version; empty means any.
-        first_token_s: Bound for the first token in seconds.
-        asked_by: Who asked for the rule.
+        first_token_s: Limit of the time to the first token, in seconds.
+        asked_by: Who requested the rule.
     """
 
     name: str
@@ -348,13 +349,13 @@
 
 @attrs.frozen
 class ServiceRule:
-    """How a plain service is served.
+    """Rule of a plain service.
 
     Attributes:
         name: Service name.
-        once: Path prefixes whose calls may not be repeated.
-        timeout_s: Longest wait for an answer in seconds.
-        asked_by: Who asked for the rule.
+        once: Path prefixes whose calls must not be repeated.
+        timeout_s: Maximum time to wait for an answer, in seconds.
+        asked_by: Who requested the rule.
     """
 
     name: str
@@ -365,7 +366,7 @@
 
 @attrs.frozen
 class Rules:
-    """A checked rule file."""
+    """Contents of a validated rule file."""
 
     customers: tuple[CustomerRule, ...] = ()
     models: tuple[ModelRule, ...] = ()
--- a/knapweedarch/order_giver.py
+++ b/knapweedarch/order_giver.py
@@ -1,4 +1,4 @@
-"""Gives the orders of a roll-out to runners, when this router may."""
+"""Sends the orders of a roll-out to runners while this router is entitled."""
 
 from collections.abc import Sequence
 
@@ -19,7 +19,7 @@
 
 
 class OrderGiver:
-    """Takes the right to give orders and gives those that are due."""
+    """Acquires the entitlement to send orders and sends those due."""
 
     def __init__(
         self,
@@ -41,13 +41,13 @@
         self._busy = False
 
     def is_due(self, rules: Rules, endpoints: Sequence[Endpoint]) -> bool:
-        """Tells whether a runner lacks weights and no step is under way."""
+        """Returns whether weights are missing and no step is in progress."""
         return not self._busy and self._rollout.is_needed(rules, endpoints)
 
     async def send_due_orders(
         self, rules: Rules, endpoints: Sequence[Endpoint]
     ) -> None:
-        """Gives the orders that are due now and waits for their answers."""
+        """Sends the orders that are due now and waits for their answers."""
         self._busy = True
         try:
             if not await self._acquire_entitlement():
@@ -64,7 +64,7 @@
             self._busy = False
 
     async def _acquire_entitlement(self) -> bool:
-        """Becomes the one router that gives orders, unless another is."""
+        """Acquires the entitlement; returns False if another router has it."""
         epoch = self._lease.epoch
         if self._entitlement.is_held(self._lease, self._clock.now()):
             return True
--- a/knapweedarch/orders.py
+++ b/knapweedarch/orders.py
@@ -1,9 +1,9 @@
-"""Orders to runners: who may give them, and the roll-out of weights.
+"""Orders to runners: the entitlement to send them and the weights roll-out.
 
-One router at a time gives orders. Its right lasts as long as its lease runs
-without a lapse, and the leader gives it to another router only after that
-lease is over at both ends. The fencing number alone would not do, since some
-endpoints ignore it.
+Only one router at a time sends orders. Its entitlement is valid as long as
+its lease is renewed without a lapse, and the leader grants it to another
+router only after that lease has expired on both sides. A fencing number alone
+is not sufficient, because some endpoints ignore it.
 """
 
 from collections.abc import Sequence
@@ -19,8 +19,8 @@
 )
 from knapweedarch.placement import plan_loads
 
-# An order sent in the last moment of the earlier holder's lease is given up
-# by its sender after this time.
+# The sender gives up an order after this time, also one sent immediately
+# before its lease expired.
 ORDER_TIMEOUT_S = 5.0
 LOAD_TIMEOUT_S = 10.0
 FAILED_ORDER_DELAY_S = 2.0
@@ -28,12 +28,12 @@
 
 @attrs.define
 class Entitlement:
-    """The right of this router to give orders.
+    """Entitlement of this router to send orders.
 
     Attributes:
-        fencing_number: Number that goes with each order.
-        epoch: Epoch of the lease in which the right was taken.
-        taken_at: When it was taken, in seconds.
+        fencing_number: Number sent with each order.
+        epoch: Epoch of the lease under which the entitlement was acquired.
+        acquired_at: Time of the acquisition, in seconds.
     """
 
     fencing_number: int = 0
@@ -41,18 +41,18 @@
     acquired_at: float = 0.0
 
     def acquire(self, number: int, epoch: int, now: float) -> None:
-        """Notes that the leader gave the right to this router."""
+        """Records that the leader granted the entitlement."""
         self.fencing_number, self.epoch, self.acquired_at = number, epoch, now
 
     def is_held(self, lease: Lease, now: float) -> bool:
-        """Tells whether the right still belongs to this router."""
+        """Returns whether this router still holds the entitlement."""
         return lease.holds(now) and lease.epoch == self.epoch
 
     def may_order(self, endpoint: Endpoint, lease: Lease, now: float) -> bool:
-        """Tells whether an order may be sent to an endpoint now.
+        """Returns whether an order may be sent to an endpoint now.
 
         An endpoint that ignores fencing numbers gets orders only once those of
-        the earlier holder can no longer be on their way.
+        the previous holder can no longer be in transit.
         """
         if not self.is_held(lease, now):
             return False
@@ -62,7 +62,7 @@
 
 @attrs.frozen
 class LoadOrder:
-    """A runner is to load weights.
+    """Order for a runner to load weights.
 
     Attributes:
         endpoint: The runner.
@@ -76,10 +76,10 @@
 
 
 class Rollout:
-    """Brings runners to the weights versions that the rules name.
+    """Plans orders until runners have the weights versions in the rules.
 
-    Few load at a time: the weight store is limited, and a runner that loads
-    serves nobody.
+    The number of concurrent loads is limited, because the throughput of the
+    weight store is limited and a loading runner serves no requests.
     """
 
     def __init__(self):
@@ -90,7 +90,10 @@
     def next_orders(
         self, rules: Rules, endpoints: Sequence[Endpoint], now: float
     ) -> list[LoadOrder]:
-        """Returns the orders to give now; models first that guests use."""
+        """Returns the orders to send now.
+
+        Models with the lowest first-token bound, which guests use, come first.
+        """
         runners = [
             e
             for e in endpoints
@@ -141,12 +144,12 @@
                 del self._loading[endpoint_id]
 
     def record_failure(self, order: LoadOrder, now: float) -> None:
-        """Notes an order that the runner refused or did not confirm."""
+        """Records an order that was refused, unconfirmed or not sent."""
         self._loading.pop(order.endpoint.id, None)
         self._paused_until[order.endpoint.id] = now + FAILED_ORDER_DELAY_S
 
     def is_needed(self, rules: Rules, endpoints: Sequence[Endpoint]) -> bool:
-        """Tells whether any runner lacks the version that the rules name."""
+        """Returns whether any runner lacks the version in the rules."""
         versions = _versions(rules)
         return any(
             _lacks_wanted_version(endpoint, versions)
@@ -161,10 +164,10 @@
 
 
 def _lacks_wanted_version(runner: Endpoint, versions: dict[str, str]) -> bool:
-    """Tells whether a runner holds none of the versions wanted of it.
+    """Returns whether a runner has none of the versions required of it.
 
-    A runner has one version. If its models want different ones, any of them
-    will do, or it would load one after the other for ever.
+    A runner has one version. If its models require different ones, any of
+    them is accepted; otherwise the runner would alternate between them.
     """
     wanted = {versions[model] for model in runner.serves if model in versions}
     return bool(wanted) and runner.weights_version not in wanted
--- a/knapweedarch/placement.py
+++ b/knapweedarch/placement.py
@@ -1,7 +1,7 @@
-"""Cost of each candidate runner for a request, and the choice.
+"""Estimates the cost of each candidate runner for a request.
 
-The cost is the expected time to the first token in seconds, plus a charge
-for the cached blocks that the choice is expected to push out.
+The cost is the expected time to the first token in seconds, plus charges for
+recomputed and evicted blocks, for occupancy and for a low rendezvous rank.
 """
 
 import math
@@ -12,36 +12,38 @@
 
 from knapweedarch import loads, models, prefixes
 
-# Depths at which the arrival rate of a chain is measured. Few depths bound
-# the cost of a long chain; their spacing grows with the length.
+# Depths in blocks at which the arrival rate of a prefix is measured. Sampling
+# with growing distance bounds the cost of a long prompt.
 SAMPLED_DEPTHS = (0, 1, 2, 3, 5, 8, 13, 21, 34, 55)
 
-# Rendezvous orders kept before all are forgotten; one takes about 1 KB.
+# Number of cached rendezvous orders at which the cache is cleared; one entry
+# takes about 1 KB.
 RENDEZVOUS_CACHE_SIZE = 4096
 
 
 @attrs.frozen
 class PlacementConfig:
-    """Figures that the cost is made of.
+    """Parameters of the cost function.
 
     Attributes:
         prefill_tokens_s: Prompt tokens that a runner computes per second.
-        service_s: Mean time that a request occupies a place in the batch.
+        service_s: Mean time that a request occupies a slot of the batch.
         distance_s: One-way delay to each data centre in seconds.
         far_s: One-way delay to a data centre not listed.
-        eviction_weight: Charge for a block computed anew, as a part of its
-            prefill time, when the runner's cache is full.
-        recompute_weight: Charge for a block computed anew, as a part of its
-            prefill time, for the requests that it delays.
-        spread_s: Largest charge for a low rank in the rendezvous order.
-        peer_routers: Routers that choose from the same load reports.
-        peer_weight: Part of the peers' expected sends that is counted.
-        balance_s: Charge for a full batch; a half full one costs half.
-        grow_weight: Part of the prefill time that is not charged where a
-            hot prefix needs one more runner.
-        hot_window_s: Time over which the rate of a prefix is measured.
-        hot_target: Load of one runner, as a part of its capacity, at which a
-            prefix gets one more runner.
+        eviction_weight: Charge for a recomputed block when the runner's cache
+            is full, as a fraction of the block's prefill time.
+        recompute_weight: Charge for a recomputed block for the requests that
+            it delays, as a multiple of the block's prefill time.
+        max_rank_charge_s: Charge for the lowest rank in the rendezvous order.
+        peer_routers: Number of routers that use the same load reports.
+        peer_weight: Fraction of the other routers' expected sends that is
+            counted.
+        occupancy_charge_s: Charge for a full batch, proportional below that.
+        replication_discount: Fraction of a block's prefill time that is
+            deducted where a hot prefix needs one more runner.
+        hot_window_s: Time constant of the measured arrival rates.
+        hot_load_target: Load of one runner, as a fraction of its capacity,
+            above which a prefix is replicated to one more runner.
     """
 
     prefill_tokens_s: float = 20_000.0
@@ -65,10 +67,10 @@
 
     Attributes:
         endpoint: The runner.
-        cached_blocks: Leading blocks expected in its cache.
+        cached_blocks: Number of leading blocks expected in its cache.
         wait_s: Expected wait before prefill starts, in seconds.
         first_token_s: Expected time to the first token, in seconds.
-        cost_s: First-token time plus the charges, in seconds.
+        cost_s: Expected time to the first token plus charges, in seconds.
     """
 
     endpoint: models.Endpoint
@@ -79,7 +81,7 @@
 
 
 class HotPrefixes:
-    """Arrival rates of block chains, decayed over a few seconds."""
+    """Exponentially decayed arrival rates of prompt prefixes."""
 
     def __init__(self, window_s: float):
         self._window_s = window_s
@@ -87,14 +89,14 @@
         self._next_prune = 0.0
 
     def record_arrival(self, block: int, now: float) -> None:
-        """Adds one arrival."""
+        """Counts one arrival of the prefix that ends with a block."""
         count = self.rate(block, now) * self._window_s + 1.0
         self._counts[block] = (count, now)
         if now >= self._next_prune:
             self._prune(now)
 
     def rate(self, block: int, now: float) -> float:
-        """Arrivals per second."""
+        """Returns the arrivals per second."""
         known = self._counts.get(block)
         if known is None:
             return 0.0
@@ -102,12 +104,12 @@
         return count * math.exp((at - now) / self._window_s) / self._window_s
 
     def rate_lower_bound(self, block: int, now: float) -> float:
-        """Arrivals per second less one standard deviation of the count."""
+        """Returns the rate less one standard deviation of the count."""
         count = self.rate(block, now) * self._window_s
         return max(0.0, count - math.sqrt(count)) / self._window_s
 
     def _prune(self, now: float) -> None:
-        """Drops chains without an arrival for some windows."""
+        """Drops prefixes without an arrival within four windows."""
         horizon = now - 4 * self._window_s
         self._counts = {
             block: known
@@ -122,8 +124,8 @@
 ) -> list[str]:
     """Orders runners by the hash of block and runner, highest first.
 
-    Every router gets the same order without communication, and a runner that
-    joins or leaves moves only its own part of the blocks.
+    Every router computes the same order without communication, and a runner
+    that joins or leaves changes the first runner of only its own blocks.
     """
     key = block.to_bytes(8, "big")
     return sorted(
@@ -136,7 +138,7 @@
 def common_depth(
     blocks: Sequence[int], depths: Mapping[str, int], candidates: int
 ) -> int:
-    """Counts the leading blocks that at least half of the candidates have."""
+    """Returns the number of blocks cached by at least half the candidates."""
     order = sorted(depths.values(), reverse=True)
     needed = (candidates + 1) // 2
     if len(order) < needed:
@@ -145,10 +147,10 @@
 
 
 def tie_break_block(blocks: Sequence[int], common: int) -> int | None:
-    """Picks the block whose rendezvous order breaks ties.
+    """Returns the block whose rendezvous order breaks ties.
 
     It is the first block that fewer than half of the candidates have, so
-    that requests under one widely held prefix spread over its holders.
+    that requests with a widely cached prefix are spread over its runners.
     """
     if not blocks:
         return None
@@ -164,18 +166,19 @@
 ) -> list[str]:
     """Chooses the runners that load a new weights version next.
 
-    At most `limit` loads run at once, because the weight store is limited;
-    a third of the runners, but at least one, may be away at the same time.
+    At most `limit` loads run concurrently, because the throughput of the
+    weight store is limited. At most a third of the runners, but at least one,
+    may be out of service at the same time.
 
     Args:
-        runners: Runners of the model, in the order of least use by guests.
+        runners: Runners of the model, those least used by guests first.
         model: Model name.
-        version: Version wanted.
-        loading: Loads under way now, of any model.
-        limit: Most loads at once.
+        version: Required version.
+        loading: Number of loads of any model in progress.
+        limit: Maximum number of concurrent loads.
 
     Returns:
-        Ids of the runners to order, in order.
+        Ids of the runners to load, in the order of `runners`.
     """
     serving = [r for r in runners if model in r.serves]
     old = [r.id for r in serving if r.weights_version != version]
@@ -184,11 +187,11 @@
 
 
 class Placer:
-    """Estimates costs and chooses a runner.
+    """Estimates the cost of runners and ranks them.
 
     Attributes:
-        tries: Cheapest runners tried before a request has to wait. One,
-            because the cost of the first already includes the wait for it.
+        tries: Number of cheapest runners tried before a request has to wait.
+            1 because the cost of the cheapest includes the wait for it.
     """
 
     tries = 1
@@ -200,7 +203,7 @@
         self._rank_cache: dict[tuple[int, tuple[str, ...]], dict[str, int]] = {}
 
     def set_peer_routers(self, count: int) -> None:
-        """Tells how many routers choose from the same load reports."""
+        """Sets the number of routers that use the same load reports."""
         self._cfg = attrs.evolve(self._cfg, peer_routers=max(1, count))
         self._pending_weight = 1 + self._cfg.peer_weight * (
             self._cfg.peer_routers - 1
@@ -213,10 +216,10 @@
         priority: models.Priority,
         now: float,
     ) -> float:
-        """Expected wait before a new request's prefill starts.
+        """Estimates the wait in seconds until a new request's prefill starts.
 
-        Requests of the same and higher classes that wait in the routers for
-        this runner are counted as if every router had as many as this one.
+        Requests of the same and higher classes that are queued in routers for
+        this runner are estimated as if every router had as many as this one.
         """
         cfg = self._cfg
         tokens = load.tokens_ahead(priority, self._pending_weight)
@@ -229,13 +232,13 @@
         return wait
 
     def occupancy(self, load: loads.RunnerLoad) -> float:
-        """Requests expected in the batch and the queue of a runner."""
+        """Estimates the requests in the batch and queue of a runner."""
         return (
             load.reported_requests() + len(load.pending) * self._pending_weight
         )
 
     def record_arrival(self, ticket: models.Ticket, now: float) -> None:
-        """Notes an arrival for the rates of its prefixes."""
+        """Counts an arrival at the sampled prefixes of a request."""
         for depth in SAMPLED_DEPTHS:
             if depth >= len(ticket.blocks):
                 break
@@ -250,15 +253,15 @@
         fill: Mapping[str, float],
         now: float,
     ) -> list[Candidate]:
-        """Costs the given runners, cheapest first.
+        """Returns the given runners with their costs, cheapest first.
 
         Args:
             ticket: The request.
-            endpoints: Runners that may take it.
-            runner_loads: Load by runner.
-            depths: Cached leading blocks by runner.
-            fill: Used part of each runner's cache, 0 to 1.
-            now: Seconds on the router's clock.
+            endpoints: Eligible runners.
+            runner_loads: Load by runner id.
+            depths: Number of cached leading blocks by runner id.
+            fill: Used fraction of the cache by runner id, 0 to 1.
+            now: Time of the router's clock in seconds.
         """
         common = common_depth(ticket.blocks, depths, len(endpoints))
         block, copies, hot_depth = self._hot_block(ticket, endpoints, now)
@@ -298,7 +301,8 @@
         """Finds the longest prefix that needs several runners.
 
         Returns:
-            Its last block, the runners it needs, and its length in blocks.
+            Last block of the prefix, number of runners that it needs, and
+            its length in blocks.
         """
         cfg = self._cfg
         slots = sum(e.slots for e in endpoints) / len(endpoints)
@@ -318,7 +322,7 @@
     def _ranks(
         self, block: int, endpoints: Sequence[models.Endpoint]
     ) -> dict[str, int]:
-        """Rank of each runner in the rendezvous order, remembered."""
+        """Returns each runner's rendezvous rank, from a cache if possible."""
         key = (block, tuple(e.id for e in endpoints))
         ranks = self._rank_cache.get(key)
         if ranks is None:
--- a/knapweedarch/prefixes.py
+++ b/knapweedarch/prefixes.py
@@ -1,8 +1,8 @@
 """Chained block hashes of prompts.
 
-Routers and runners compute the same hashes, so that a cache event names the
-blocks that a router looks up. A router has no tokenizer; it takes four UTF-8
-bytes for one token, which makes a block of 2,048 tokens 8,192 bytes.
+Routers and runners compute the same hashes, so that cache events contain the
+hashes that a router looks up. A router has no tokenizer; it counts four UTF-8
+bytes as one token, so that a block of 2,048 tokens has 8,192 bytes.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,31 +14,31 @@
 BLOCK_BYTES = BLOCK_TOKENS * BYTES_PER_TOKEN
 
 # Bytes hashed between two yields of `hash_steps`. One step of 1 MiB takes
-# well under a millisecond, so that a manuscript does not hold the event loop.
+# well under a millisecond, so that a long prompt does not block the event loop.
 STEP_BYTES = 1 << 20
 
 
 def make_salt(customer: str, model: str, weights_version: str) -> bytes:
-    """Makes the salt that keeps apart customers, models and versions.
+    """Returns the hash salt of a customer, model and weights version.
 
-    Each field is preceded by its length, so that no two different triples
-    give the same salt.
+    Each field is preceded by its length, so that different triples never
+    produce the same salt.
     """
     fields = [part.encode() for part in (customer, model, weights_version)]
     return b"".join(len(f).to_bytes(4, "big") + f for f in fields)
 
 
 def count_tokens(prompt: bytes | str) -> int:
-    """Estimates the length of a prompt in tokens, rounded up."""
+    """Estimates the number of tokens in a prompt, rounded up."""
     data = prompt.encode() if isinstance(prompt, str) else prompt
     return -(-len(data) // BYTES_PER_TOKEN)
 
 
 class BlockHasher:
-    """Hashes a prompt that arrives in pieces.
+    """Hashes a prompt incrementally.
 
     The hash of a block covers the salt and every byte up to the end of the
-    block. Only full blocks have a hash, as engines share only full blocks.
+    block. Only full blocks are hashed, because engines share only full blocks.
     """
 
     def __init__(self, salt: bytes):
@@ -49,12 +49,12 @@
 
     @property
     def blocks(self) -> tuple[int, ...]:
-        """Hashes of the full blocks so far."""
+        """Hashes of the full blocks fed so far."""
         return tuple(self._blocks)
 
     @property
     def prompt_tokens(self) -> int:
-        """Estimated tokens fed so far."""
+        """Estimated number of tokens fed so far."""
         return -(-self._length // BYTES_PER_TOKEN)
 
     def feed(self, piece: bytes) -> None:
@@ -88,7 +88,7 @@
 
     Args:
         salt: Result of `make_salt`.
-        prompt: The prompt, whole or in pieces of bytes.
+        prompt: The complete prompt, or its bytes in chunks.
 
     Returns:
         One 64-bit hash per full block, each covering all bytes before it.
@@ -108,8 +108,8 @@
 def hash_steps(hasher: BlockHasher, prompt: bytes) -> Iterator[int]:
     """Feeds a long prompt in bounded steps.
 
-    Yields the bytes hashed so far after each step of `STEP_BYTES`, so that
-    the caller can let its event loop run between two steps.
+    Yields the number of bytes hashed so far after each step of `STEP_BYTES`,
+    so that the caller can yield to its event loop between steps.
     """
     view = memoryview(prompt)
     for start in range(0, len(view), STEP_BYTES):
--- a/knapweedarch/retries.py
+++ b/knapweedarch/retries.py
@@ -1,4 +1,4 @@
-"""Retry budget, back-off, and health of endpoints."""
+"""Retry budget, back-off and endpoint health."""
 
 import math
 import random
@@ -10,22 +10,24 @@
 
 @attrs.frozen
 class RetryConfig:
-    """Limits of retries and ejections.
+    """Configuration of retries, ejection and slow start.
 
     Attributes:
         ratio: Retries allowed per first attempt.
-        reserve: Retries allowed without any first attempt before.
-        most_per_ticket: Most retries of one request.
-        back_off_s: Mean of the first back-off; it doubles with each retry.
-        back_off_most_s: Upper bound of the back-off.
-        eject_s: Time of the first ejection; it doubles with each further one.
-        eject_most_s: Upper bound of the ejection time.
-        failures: Failures in a row that eject an endpoint.
+        reserve: Retries allowed without preceding first attempts; also the
+            maximum of the budget.
+        max_retries_per_request: Maximum number of retries of one request.
+        back_off_s: Mean of the first back-off; doubles with each retry.
+        max_back_off_s: Upper bound of the mean back-off.
+        ejection_s: Duration of the first ejection; doubles with each further
+            one.
+        max_ejection_s: Upper bound of the ejection time before jitter.
+        failures: Number of consecutive failures that eject an endpoint.
         slow_factor: Ratio of an endpoint's lateness to the median of its
-            peers at which it is ejected.
+            peers above which it is ejected.
         slow_floor_s: Lateness below which no endpoint counts as slow.
-        samples: First tokens needed before an endpoint can count as slow.
-        ramp_s: Duration of slow start.
+        samples: First tokens required before an endpoint can count as slow.
+        slow_start_s: Duration of slow start.
     """
 
     ratio: float = 0.1
@@ -43,18 +45,18 @@
 
 
 class RetryBudget:
-    """Bounds retries to a part of the first attempts."""
+    """Limits retries to a fraction of the first attempts."""
 
     def __init__(self, cfg: RetryConfig):
         self._cfg = cfg
         self._tokens = cfg.reserve
 
     def record_first_attempt(self) -> None:
-        """Notes a first attempt, which pays for a part of a retry."""
+        """Counts a first attempt, which adds a fraction of a retry."""
         self._tokens = min(self._cfg.reserve, self._tokens + self._cfg.ratio)
 
     def try_spend(self) -> bool:
-        """Takes one retry out of the budget."""
+        """Spends one retry; returns False if the budget is exhausted."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -62,19 +64,19 @@
 
 
 def back_off_s(cfg: RetryConfig, retry: int, rng: random.Random) -> float:
-    """Draws the delay before a retry, between half and 1.5 times its mean.
+    """Draws the delay before a retry, between 0.5 and 1.5 times its mean.
 
     Args:
-        cfg: Limits.
-        retry: 1 for the first retry of a request.
-        rng: Seeded source of the jitter, which keeps routers apart.
+        cfg: Retry configuration.
+        retry: Number of the retry; 1 for the first retry of a request.
+        rng: Seeded source of the jitter, which desynchronizes routers.
     """
     mean = min(cfg.max_back_off_s, cfg.back_off_s * 2 ** (retry - 1))
     return mean * rng.uniform(0.5, 1.5)
 
 
 def slow_start_limit(cfg: RetryConfig, started_at: float, now: float) -> float:
-    """Part of a runner's limit that slow start allows, 0.25 to 1."""
+    """Returns the fraction of a runner's limit during slow start, 0.25 to 1."""
     return min(1.0, 0.25 + 0.75 * (now - started_at) / cfg.slow_start_s)
 
 
@@ -88,7 +90,7 @@
 
 
 class HealthTable:
-    """Failures and lateness of endpoints, and ejection of the worst."""
+    """Tracks failures and lateness of endpoints and ejects outliers."""
 
     def __init__(self, cfg: RetryConfig, rng: random.Random):
         self._cfg = cfg
@@ -96,13 +98,13 @@
         self._health: dict[str, _Health] = {}
 
     def reset(self, endpoint_id: str) -> None:
-        """Forgets what is known about an endpoint."""
+        """Clears the health state of an endpoint."""
         self._health.pop(endpoint_id, None)
 
     def record_failure(
         self, endpoint_id: str, peers: Sequence[str], now: float
     ) -> None:
-        """Notes a failed attempt; ejects the endpoint after several."""
+        """Records a failed attempt; ejects after consecutive failures."""
         health = self._get(endpoint_id)
         health.failures += 1
         if health.failures >= self._cfg.failures:
@@ -115,13 +117,13 @@
         peers: Sequence[str],
         now: float,
     ) -> None:
-        """Notes a first token and how late it came.
+        """Records a first token and its lateness.
 
         Args:
             endpoint_id: The endpoint.
-            lateness_s: Time to the first token beyond the expected time.
-            peers: All endpoints of the same model.
-            now: Seconds on the router's clock.
+            lateness_s: Actual less expected time to the first token.
+            peers: Ids of all endpoints of the same model.
+            now: Time of the router's clock in seconds.
         """
         health = self._get(endpoint_id)
         health.failures = 0
@@ -131,7 +133,7 @@
             self._eject(endpoint_id, peers, now)
 
     def is_ejected(self, endpoint_id: str, now: float) -> bool:
-        """Tells whether an endpoint gets no new work."""
+        """Returns whether an endpoint is ejected and gets no new work."""
         health = self._health.get(endpoint_id)
         return health is not None and now < health.ejected_until
 
@@ -148,7 +150,7 @@
     def _eject(
         self, endpoint_id: str, peers: Sequence[str], now: float
     ) -> None:
-        """Ejects an endpoint unless a third of its peers is ejected."""
+        """Ejects an endpoint; at most a third of its peers may be ejected."""
         ejected_peers = sum(
             self.is_ejected(p, now) for p in peers if p != endpoint_id
         )
--- a/knapweedarch/scheduler.py
+++ b/knapweedarch/scheduler.py
@@ -1,7 +1,7 @@
-"""Decides where and when each request runs.
+"""Decides when and on which runner each request runs.
 
-The scheduler is driven by the router and by the bench. It performs no input
-or output; the caller passes the time, in seconds on one monotonic clock.
+The scheduler is called by the router and by the bench. It performs no I/O;
+the caller passes the current time in seconds of one monotonic clock.
 """
 
 import random
@@ -19,18 +19,18 @@
     retries,
 )
 
-# Waiting requests of full runners for which one poll looks for another runner,
-# those not tried for longest first. Bounds the time of a poll.
+# Number of requests waiting for a full runner that one poll tries to place on
+# another runner, least recently tried first. Bounds the duration of a poll.
 STALE_TRIES_PER_POLL = 4
 
-# Interval in seconds at which waiting requests are tried again, because
-# expected load falls with time and not only with events.
+# Waiting requests are also retried periodically, because the expected load
+# decreases with time and not only on events.
 POLL_INTERVAL_S = 0.05
 
 
 @attrs.frozen
 class SchedulerConfig:
-    """Figures of all parts of the scheduler."""
+    """Configuration of all components of the scheduler."""
 
     placement_cfg: placement.PlacementConfig = attrs.field(
         factory=placement.PlacementConfig
@@ -51,12 +51,12 @@
 
 
 def create_scheduler(cfg: SchedulerConfig, seed: int) -> "Scheduler":
-    """Creates a scheduler; equal seeds and calls give equal decisions."""
+    """Creates a scheduler; equal seeds and calls yield equal decisions."""
     return Scheduler(cfg, placement.Placer(cfg.placement_cfg), seed)
 
 
 class Scheduler:
-    """Facade of index, placement, admission and retries."""
+    """Combines the cache index, placement, admission and retries."""
 
     def __init__(
         self, cfg: SchedulerConfig, placer: placement.Placer, seed: int
@@ -80,7 +80,7 @@
     def set_endpoints(
         self, endpoints: Sequence[models.Endpoint], now: float
     ) -> None:
-        """Takes over the list of endpoints; plain services are ignored."""
+        """Replaces the list of endpoints; plain services are ignored."""
         initial = not self._endpoints
         runners = {
             e.id: e for e in endpoints if e.kind is models.EndpointKind.RUNNER
@@ -97,20 +97,20 @@
         self._endpoints = runners
 
     def set_limits(self, rules: models.Rules) -> None:
-        """Takes over the limits of customers and versions of models."""
+        """Applies customer limits and the required model versions."""
         self._limits.set_rules(rules)
         self._versions = {m.name: m.version for m in rules.models}
 
     def set_peer_routers(self, count: int) -> None:
-        """Tells how many routers choose from the same load reports."""
+        """Sets the number of routers that use the same load reports."""
         self._placer.set_peer_routers(count)
 
     def version_for(self, model: str) -> str:
-        """Weights version to hash a prompt for.
+        """Returns the weights version used to hash a prompt.
 
-        It is the version that the rules require, or else the one that most
-        runners serve. A runner of another version never counts as having
-        the blocks, as their hashes differ.
+        This is the version that the rules require, otherwise the one that
+        most runners serve. Runners with another version never match, because
+        the version is part of the block hashes.
         """
         if self._versions.get(model):
             return self._versions[model]
@@ -122,7 +122,7 @@
         return max(served, key=served.count, default="")
 
     def report_load(self, report: models.LoadReport, now: float) -> None:
-        """Takes over a load report."""
+        """Applies a load report; one of another incarnation is ignored."""
         endpoint = self._endpoints.get(report.endpoint_id)
         if endpoint is None or endpoint.incarnation != report.incarnation:
             return
@@ -130,23 +130,23 @@
         self._loads[endpoint.id].apply_report(report, now)
 
     def cache_event(self, event: models.CacheEvent, now: float) -> None:
-        """Takes over a cache event."""
+        """Applies a cache event."""
         self._index.apply(event)
 
     def cache_snapshot(
         self, snapshot: models.CacheSnapshot, now: float
     ) -> None:
-        """Takes over the whole cache of a runner."""
+        """Replaces the known cache contents of a runner."""
         self._index.apply_snapshot(snapshot)
 
     def take_snapshot_requests(self) -> list[str]:
-        """Returns once each runner whose blocks must be asked for."""
+        """Returns and clears the runners that need a cache snapshot."""
         return self._index.pop_gaps()
 
     def endpoint_lost(self, endpoint_id: str, now: float) -> None:
-        """Notes that a runner's feed broke; its entries are dropped.
+        """Records that a runner's feed was lost and drops its cache entries.
 
-        The runner gets work only if no other can, until its next report.
+        Until its next report the runner is used only if no other is eligible.
         """
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
@@ -174,8 +174,8 @@
     ) -> models.Decision:
         """Decides on a request whose attempt failed.
 
-        The ticket may differ from the failed attempt's: a resumed stream
-        names its weights version and has a new deadline.
+        The ticket may differ from that of the failed attempt: a resumed
+        stream requires a weights version and has a new deadline.
         """
         if failed.number in self._running:
             self.finished(
@@ -202,7 +202,7 @@
         return models.Wait()
 
     def first_token(self, attempt: models.Attempt, now: float) -> None:
-        """Notes the first token of an attempt."""
+        """Records the first token of an attempt."""
         running = self._running.get(attempt.number)
         if running is None or running.first_token_at is not None:
             return
@@ -223,7 +223,7 @@
         outcome: models.AttemptResult,
         now: float,
     ) -> None:
-        """Notes the end of an attempt, whole, failed or cancelled."""
+        """Records the end of an attempt: complete, failed or cancelled."""
         running = self._running.pop(attempt.number, None)
         if running is None:
             return
@@ -243,7 +243,7 @@
             )
 
     def withdraw(self, ticket_id: str, now: float) -> None:
-        """Forgets a request: its caller left, or it will not be retried."""
+        """Removes a request whose caller left or that is not retried."""
         self._retry_counts.pop(ticket_id, None)
         for queue in self._queues.values():
             entry = queue.remove(ticket_id)
@@ -252,7 +252,7 @@
                 self._release(entry.ticket)
 
     def poll(self, now: float) -> list[tuple[str, models.Decision]]:
-        """Returns the requests that no longer wait."""
+        """Returns decisions for the requests that no longer wait."""
         done: list[tuple[str, models.Decision]] = []
         for queue in self._queues.values():
             if len(queue):
@@ -260,7 +260,7 @@
         return done
 
     def next_wake(self, now: float) -> float | None:
-        """Time of the next poll that may return something."""
+        """Returns the time of the next useful poll; None if none is due."""
         if not any(len(queue) for queue in self._queues.values()):
             return None
         return now + POLL_INTERVAL_S
@@ -289,7 +289,7 @@
     def _placeable(
         self, queue: admission.RequestQueue, stale: set[str], now: float
     ) -> list[admission.QueuedRequest]:
-        """Lists the requests that are stale or whose runner has room now."""
+        """Returns requests that are stale or whose target has capacity."""
         free: dict[tuple[str, int], bool] = {}
         found = []
         for entry in queue:
@@ -308,7 +308,7 @@
         queue: admission.RequestQueue,
         now: float,
     ) -> bool:
-        """Tells whether the runner that a request waits for has room."""
+        """Returns whether the target runner of a request has capacity."""
         endpoint = self._endpoints.get(entry.target)
         return endpoint is None or self._has_capacity(
             endpoint, entry.ticket, queue.rank(entry, now), now
@@ -331,7 +331,7 @@
     def _decide(
         self, entry: admission.QueuedRequest, now: float
     ) -> models.Decision:
-        """Decides on an arriving request; queues it if it must wait."""
+        """Decides on a new request and queues it if it must wait."""
         queue = self._queue(entry.ticket.model)
         decision = self._place(
             entry, queue.rank(entry, now), now, arriving=True
@@ -350,7 +350,7 @@
         now: float,
         arriving: bool = False,
     ) -> models.Decision:
-        """Dispatches a request, or tells whether it may wait."""
+        """Dispatches or refuses a request, or lets it wait for a runner."""
         ticket = entry.ticket
         self._set_target(entry, "")
         endpoints = self._eligible(ticket, entry.avoid, now)
@@ -379,7 +379,7 @@
         return models.Wait()
 
     def _set_target(self, entry: admission.QueuedRequest, target: str) -> None:
-        """Moves a waiting request's count to the runner it waits for."""
+        """Sets a request's target and updates the counts per runner."""
         priority = entry.ticket.priority
         if entry.target in self._loads:
             self._loads[entry.target].waiting_by_class[priority] -= 1
@@ -418,10 +418,10 @@
     def _eligible(
         self, ticket: models.Ticket, avoid: frozenset[str], now: float
     ) -> list[models.Endpoint]:
-        """Runners that may get the request, without the avoidable ones."""
-        # Only a resumed stream is bound to a version. During a roll-out the
-        # runners of the older version serve on, or capacity would drop to
-        # the few that have loaded the new one.
+        """Returns eligible runners, excluding failing ones if possible."""
+        # Only a resumed stream requires a version. During a roll-out runners
+        # with the older version keep serving, otherwise capacity would drop
+        # to the few that have loaded the new one.
         version = ticket.weights_version
         capable = [
             e
@@ -445,7 +445,7 @@
     def _add_runner(
         self, runner: models.Endpoint, initial: bool, now: float
     ) -> None:
-        """Starts a runner's state; slow start unless the router is new."""
+        """Initializes a runner; it slow-starts unless the router is new."""
         self._index.set_endpoint(runner.id, runner.incarnation)
         load = loads.RunnerLoad(reported_at=now)
         if not initial:
@@ -459,7 +459,7 @@
         self._health.reset(runner.id)
 
     def _is_current(self, attempt: models.Attempt) -> bool:
-        """Tells whether the attempt's incarnation of the runner still runs."""
+        """Returns whether the runner still has the attempt's incarnation."""
         known = self._endpoints.get(attempt.endpoint.id)
         return (
             known is not None
--- a/knapweedarch/weights_rollout.py
+++ b/knapweedarch/weights_rollout.py
@@ -1,10 +1,10 @@
-"""Brings every runner to the weights that are named for its model.
+"""Rolls out the weights named for a model to all of its runners.
 
-The leading member gives the orders. Its term is the fencing number. Not every
-runner checks the number, so a new leader waits until the last orders of its
-predecessor are old enough, and the leader lease is checked right before each
-order. Orders are given only to runners that the log shows as loading, so the
-log tells a new leader how old the last order can be.
+The leading member sends the orders, with its term as the fencing number. Not
+every runner checks the number, so a new leader waits until the last orders of
+its predecessor have expired, and the leader lease is checked immediately
+before each order. Orders are sent only to runners whose status in the log is
+`loading`, so a new leader can derive the latest time of an earlier order.
 """
 
 from typing import Protocol
@@ -25,38 +25,40 @@
 from knapweedarch.timers import Clock, Timers
 
 CHECK_INTERVAL_S = 0.05
-# The store of weights is limited: more loads at once take longer each.
+# More concurrent loads would each take longer, because the throughput of the
+# weight store is limited.
 MAX_LOADS = 3
-# Runners that end their work while others load, so that no load waits.
+# Runners that drain while others load, so that the next load can start at once.
 EXTRA_DRAINS = 1
 LOW_LOAD_EXTRA_DRAINS = 3
-# Requests per runner below which the runners count as calm.
+# Mean number of requests per runner below which the runners count as lightly
+# loaded.
 LOW_LOAD_REQUESTS_PER_RUNNER = 2.5
-# Longest wait for the end of what runs. What then still runs breaks off; a
-# stream that may be resumed goes on elsewhere. The first runners get longer,
-# as a stream that goes on with old weights would be broken off again.
+# Maximum time to wait for running requests. Requests still running are then
+# aborted; a resumable stream continues on another runner. The first runners get
+# more time, because a stream resumed with old weights would be aborted again.
 DRAIN_TIMEOUT_S = 0.6
 FIRST_DRAIN_TIMEOUT_S = 0.9
 LOW_LOAD_DRAIN_TIMEOUT_S = 1.5
-# A runner that did not reach its weights in this time is ordered again.
+# The order is repeated if a runner has not reported the weights by then.
 LOAD_TIMEOUT_S = 2.0
-# Longest wait for requests that a runner has not begun. An order refuses
-# them, and each one then takes a place in the budget of repeats.
+# Maximum time to wait for requests queued in a runner. An order makes the
+# runner refuse them, and each refusal then uses up part of the repeat budget.
 QUEUE_TIMEOUT_S = 1.0
-# A runner's report is some hundred milliseconds old.
+# Reports of a runner are up to a few hundred milliseconds old.
 QUEUE_POLL_INTERVAL_S = 0.15
-# A new leader may not give orders at once, but runners may end their work
-# meanwhile, so that the first orders follow when it may.
+# A new leader may not send orders immediately, but lets runners drain this long
+# before it may, so that the first orders follow without a delay.
 EARLY_DRAIN_S = 1.2
 POLL_INTERVAL_S = 0.03
-# From the change of a status to the loads that routers cause after it.
+# Delay from a status change until loads reported by routers reflect it.
 LOAD_REPORT_LAG_S = 0.25
 RETRY_DELAY_S = 0.5
 
 
 @attrs.frozen
 class NamedWeights:
-    """Weights that the runners of a model are to reach."""
+    """Weights version that the runners of a model have to load."""
 
     model: str
     version: int
@@ -64,13 +66,13 @@
 
 @attrs.frozen
 class RunnerState:
-    """What a runner reports of itself.
+    """State reported by a runner.
 
     Attributes:
         weights: Weights version by model.
-        busy: Whether it carries out an order.
-        queued: Requests that it has not begun.
-        orders_accepted: Orders accepted since its start.
+        busy: Whether the runner is executing an order.
+        queued: Number of requests that it has not started.
+        orders_accepted: Number of orders accepted since its start.
     """
 
     weights: dict[str, int]
@@ -81,15 +83,15 @@
 
 @attrs.frozen
 class LoadWeightsOrder:
-    """An order to load weights.
+    """Order to load weights.
 
     Attributes:
-        model: The model.
+        model: Model name.
         version: Version to load.
-        owner: Name of the member that gives the order.
+        owner: Name of the member that sends the order.
         fencing_number: Term of that member.
-        expected_orders: Orders that the runner must have accepted before; an
-            order that arrives late is thereby refused.
+        expected_orders: Number of orders that the runner must have accepted
+            before, so that it refuses an order that arrives late.
     """
 
     model: str
@@ -100,25 +102,26 @@
 
 
 class RunnerOrders(Protocol):
-    """Calls to runners, translated by the platform's adapter."""
+    """Calls to runners, implemented by the platform adapter."""
 
     async def report(self, endpoint: Endpoint) -> RunnerState:
-        """Asks a runner for its state.
+        """Requests the state of a runner.
 
         Raises:
-            ExchangeError: It did not answer.
+            ExchangeError: The runner did not answer.
         """
 
     async def load(self, endpoint: Endpoint, order: LoadWeightsOrder) -> bool:
-        """Gives an order; tells whether the runner accepted it.
+        """Sends an order; returns whether the runner accepted it.
 
         Raises:
-            ExchangeError: It did not answer; it may still carry it out.
+            ExchangeError: The runner did not answer; it may still execute the
+                order.
         """
 
 
 class WeightsRollout:
-    """Orders loads while this member leads."""
+    """Sends load orders while this member leads."""
 
     def __init__(
         self,
@@ -143,7 +146,7 @@
         self._task_group: anyio.abc.TaskGroup | None = None
 
     def start(self, group: anyio.abc.TaskGroup, timers: Timers) -> None:
-        """Subscribes to the timers; orders run in the task group."""
+        """Registers the periodic check; orders run in the task group."""
         self._task_group = group
         timers.every(CHECK_INTERVAL_S, self._check)
 
@@ -173,10 +176,10 @@
             self._task_group.start_soon(self._update_runner, endpoint)
 
     async def _reactivate_loading(self) -> None:
-        """Puts runners that an earlier leader took out back into use.
+        """Reactivates runners that an earlier leader took out of use.
 
-        They are free until this leader may give orders. One that still loads
-        refuses requests, and its heartbeat tells when it has new weights.
+        They can serve until this leader may send orders. One that is still
+        loading refuses requests, and its heartbeat reports the new weights.
         """
         for endpoint in self._runners():
             if endpoint.status is EndpointStatus.LOADING:
@@ -193,11 +196,11 @@
         )
 
     def _max_loads(self) -> int:
-        """Most loads at once; others must serve meanwhile."""
+        """Returns the maximum of concurrent loads; the others keep serving."""
         return max(1, min(MAX_LOADS, len(self._runners()) // 3))
 
     def _max_out_of_use(self) -> int:
-        """Most runners out of use at once; a third of them must serve."""
+        """Returns the maximum of runners out of use; a third must serve."""
         return max(1, len(self._runners()) * 2 // 3)
 
     def _runners(self) -> list[Endpoint]:
@@ -216,7 +219,7 @@
             and self._paused_until.get(e.id, 0.0) <= now
             and (self._is_outdated(e) or e.status is EndpointStatus.LOADING)
         ]
-        # Those that were taken out of use come first, then the oldest weights.
+        # Runners already out of use come first, then those with oldest weights.
         return sorted(
             due,
             key=lambda e: (
@@ -226,7 +229,7 @@
         )
 
     def _is_outdated(self, endpoint: Endpoint) -> bool:
-        """Tells whether a runner has older weights than those named."""
+        """Returns whether a runner has older weights than those named."""
         held = endpoint.weights_number
         return any(
             model in endpoint.serves and held < version
@@ -236,7 +239,7 @@
     def _wanted(
         self, endpoint: Endpoint, state: RunnerState
     ) -> NamedWeights | None:
-        """Returns the weights that a runner is to load, if any."""
+        """Returns the weights that a runner has to load, if any."""
         for model, version in self._member.state.weights.items():
             served = model in endpoint.serves
             if served and state.weights.get(model, 0) < version:
@@ -244,7 +247,7 @@
         return None
 
     async def _update_runner(self, endpoint: Endpoint) -> None:
-        """Takes a runner out of use, orders the load and waits for its end."""
+        """Takes a runner out of use, orders the load and waits for it."""
         try:
             await self._load(endpoint)
         except ExchangeError as exc:
@@ -254,9 +257,9 @@
                 reason=f"{exc.reason}: {exc}",
             )
             if exc.reason == RetryReason.CONNECT_REFUSED:
-                # It counts as gone until its next heartbeat.
+                # The runner counts as silent until its next heartbeat.
                 await self._change(
-                    endpoint, EndpointStatus.SILENT, "refuses connections"
+                    endpoint, EndpointStatus.SILENT, "connection refused"
                 )
             await self._reactivate(endpoint)
         finally:
@@ -271,7 +274,7 @@
         await self._change(endpoint, EndpointStatus.LOADING, "load due")
         term = self._term
         state = await self._drain(endpoint)
-        # A new leader waits here until it may give orders.
+        # A new leader waits until the orders of its predecessor have expired.
         await anyio.sleep(max(0.0, self._may_order_at - self._clock.now()))
         wanted = self._wanted(endpoint, state)
         may_order = self._may_order(term) and not state.busy
@@ -286,9 +289,9 @@
     async def _await_load(
         self, endpoint: Endpoint, wanted: NamedWeights
     ) -> None:
-        """Waits until a heartbeat tells of the weights, within a limit.
+        """Waits, up to a timeout, until a heartbeat reports the weights.
 
-        A runner sends one as soon as it has loaded them.
+        A runner sends a heartbeat as soon as it has loaded them.
         """
         until = self._clock.now() + LOAD_TIMEOUT_S
         while self._clock.now() < until:
@@ -299,7 +302,7 @@
         log("load_not_confirmed", endpoint=endpoint.id, version=wanted.version)
 
     def _stored_endpoint(self, endpoint: Endpoint) -> Endpoint | None:
-        """Returns what is stored of a runner; None if it is gone."""
+        """Returns the stored state of a runner; None if it is gone."""
         entry = self._member.state.endpoints.get(endpoint.id)
         if entry is None or (
             entry.endpoint.incarnation != endpoint.incarnation
@@ -308,13 +311,13 @@
         return entry.endpoint
 
     async def _reactivate(self, endpoint: Endpoint) -> None:
-        """Puts a runner back into use."""
+        """Sets the status of a loading runner to active."""
         held = self._stored_endpoint(endpoint)
         if held is not None and held.status is EndpointStatus.LOADING:
             await self._change(endpoint, EndpointStatus.ACTIVE, "load ended")
 
     def _drain_timeout_s(self, endpoint: Endpoint) -> float:
-        """Longest wait in seconds for the end of what a runner runs."""
+        """Returns the maximum time to wait for a runner's requests."""
         loaded = any(
             e.status is EndpointStatus.ACTIVE and not self._is_outdated(e)
             for e in self._runners()
@@ -325,15 +328,15 @@
         return DRAIN_TIMEOUT_S if loaded else FIRST_DRAIN_TIMEOUT_S
 
     def _is_lightly_loaded(self) -> bool:
-        """Tells whether the runners could do with fewer of them."""
+        """Returns whether fewer runners could serve the current requests."""
         runners = self._runners()
         requests = sum(self._member.leader.requests_at(e.id) for e in runners)
         return requests < LOW_LOAD_REQUESTS_PER_RUNNER * len(runners)
 
     async def _drain(self, endpoint: Endpoint) -> RunnerState:
-        """Waits until nothing runs and a load may begin, within a limit."""
+        """Waits, up to a timeout, until a runner is idle and may load."""
         until = self._clock.now() + self._drain_timeout_s(endpoint)
-        # Routers learn of the status first, and their loads come after that.
+        # Earlier load reports may predate the status change at the routers.
         await anyio.sleep(LOAD_REPORT_LAG_S)
         while self._clock.now() < until:
             if not self._member.leader.requests_at(endpoint.id):
@@ -346,7 +349,7 @@
         return await self._orders.report(endpoint)
 
     async def _await_queue(self, endpoint: Endpoint) -> None:
-        """Waits until a runner has begun what it took, within a limit."""
+        """Waits, up to a timeout, until a runner has no queued requests."""
         until = self._clock.now() + QUEUE_TIMEOUT_S
         while (await self._orders.report(endpoint)).queued:
             if self._clock.now() >= until:
@@ -361,7 +364,7 @@
     async def _order(
         self, endpoint: Endpoint, wanted: NamedWeights, state: RunnerState
     ) -> bool:
-        """Gives an order; tells whether the runner accepted it."""
+        """Sends an order; returns whether the runner accepted it."""
         order = LoadWeightsOrder(
             *(wanted.model, wanted.version, self._name, self._member.term),
             state.orders_accepted,
