--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -20,7 +20,7 @@
 DEADLINES_S = {"guest": 4.0, "batch": 60.0}
 
 
-def stored(name, number, incarnation=None):
+def stored_event(name, number, incarnation=None):
     """An event that tells of the prompt's blocks."""
     return models.CacheEvent(
         name,
@@ -32,19 +32,19 @@
 
 
 @given("a prompt of {size:d} bytes")
-def prompt_of(context, size):
+def given_prompt(context, size):
     context.prompt = PROMPT[:size]
 
 
 @then('its blocks differ between customers "{one}" and "{other}"')
-def differ_by_customer(context, one, other):
+def blocks_differ_by_customer(context, one, other):
     salts = [prefixes.make_salt(c, "guide", "v1") for c in (one, other)]
     first, second = (prefixes.hash_blocks(s, context.prompt) for s in salts)
     assert not set(first) & set(second)
 
 
 @then('its blocks differ between versions "{one}" and "{other}"')
-def differ_by_version(context, one, other):
+def blocks_differ_by_version(context, one, other):
     salts = [prefixes.make_salt("a", "guide", v) for v in (one, other)]
     first, second = (prefixes.hash_blocks(s, context.prompt) for s in salts)
     assert not set(first) & set(second)
@@ -56,7 +56,7 @@
 
 
 @then("hashing it in pieces of {size:d} bytes gives the same blocks")
-def pieces(context, size):
+def hash_in_pieces(context, size):
     prompt = context.prompt
     parts = [prompt[i : i + size] for i in range(0, len(prompt), size)]
     whole = prefixes.hash_blocks(b"s", prompt)
@@ -103,8 +103,8 @@
 
 @given("runner {name} has stored the prompt as event {number:d}")
 def has_stored(context, name, number):
-    context.sched.cache_event(stored(name, number), 0.0)
-    assert context.cache.apply(stored(name, number))
+    context.sched.cache_event(stored_event(name, number), 0.0)
+    assert context.cache.apply(stored_event(name, number))
     assert context.cache.depths(BLOCKS, 0.0) == {name: len(BLOCKS)}
 
 
@@ -135,22 +135,22 @@
 
 
 @given(
-    'customer "a" may send {rate:d} requests per second and {most:d} at once'
+    'customer "a" may send {rate:d} requests per second and {maximum:d} at once'
 )
-def limit(context, rate, most):
-    rule = models.CustomerRule("a", "", rate=rate, concurrent=most)
+def set_customer_limits(context, rate, maximum):
+    rule = models.CustomerRule("a", "", rate=rate, concurrent=maximum)
     context.sched.set_limits(models.Rules(customers=(rule,)))
 
 
 @when("event {number:d} of runner {name} arrives")
 def event_arrives(context, number, name):
-    event = attrs.evolve(stored(name, number), blocks=(1,))
+    event = attrs.evolve(stored_event(name, number), blocks=(1,))
     assert context.cache.apply(event)
 
 
 @when('incarnation "{old}" of runner {name} tells that it stored the prompt')
 def old_event(context, old, name):
-    assert not context.cache.apply(stored(name, 1, old))
+    assert not context.cache.apply(stored_event(name, 1, old))
 
 
 @when("an empty snapshot of runner {name} after event {number:d} arrives")
@@ -162,12 +162,12 @@
 
 @then("event {number:d} of runner {name} is ignored")
 def event_ignored(context, number, name):
-    assert not context.cache.apply(stored(name, number))
-    assert context.cache.apply(stored(name, number + 1))
+    assert not context.cache.apply(stored_event(name, number))
+    assert context.cache.apply(stored_event(name, number + 1))
 
 
 @then("no runner is known to have the prompt")
-def nothing_known(context):
+def no_cached_blocks(context):
     assert context.cache.depths(BLOCKS, 0.0) == {}
 
 
@@ -178,12 +178,12 @@
 
 
 @when("a {kind} request arrives")
-def one_arrives(context, kind):
-    several_arrive(context, 1, kind)
+def request_arrives(context, kind):
+    requests_arrive(context, 1, kind)
 
 
 @when("{count:d} {kind} requests arrive")
-def several_arrive(context, count, kind):
+def requests_arrive(context, count, kind):
     for _ in range(count):
         ticket = models.Ticket(
             f"t{len(context.decisions)}",
@@ -197,10 +197,10 @@
         )
         decision = context.sched.submit(ticket, 0.0)
         context.decisions.append(decision)
-        context.last = decision
+        context.last_decision = decision
 
 
-def sent(context):
+def dispatched_runners(context):
     """Ids of the runners that got a request."""
     return [
         d.attempt.endpoint.id
@@ -211,42 +211,50 @@
 
 @then("it is sent")
 def is_sent(context):
-    assert isinstance(context.last, models.Dispatch), context.last
+    assert isinstance(context.last_decision, models.Dispatch), (
+        context.last_decision
+    )
 
 
 @then("it is sent to runner {name} with {count:d} cached blocks")
 def is_sent_to(context, name, count):
-    assert context.last.attempt.endpoint.id == name
-    assert context.last.attempt.cached_blocks == count
+    assert context.last_decision.attempt.endpoint.id == name
+    assert context.last_decision.attempt.cached_blocks == count
 
 
 @then("it is sent with {count:d} cached blocks")
 def is_sent_with(context, count):
-    assert context.last.attempt.cached_blocks == count
+    assert context.last_decision.attempt.cached_blocks == count
 
 
 @then("none of them is sent to runner {name}")
 def none_sent_to(context, name):
-    assert len(sent(context)) == len(context.decisions)
-    assert name not in sent(context)
+    assert len(dispatched_runners(context)) == len(context.decisions)
+    assert name not in dispatched_runners(context)
 
 
-@then("at least {count:d} runners get work and none gets more than {most:d}")
-def spread(context, count, most):
-    got = sent(context)
-    assert len(set(got)) >= count, got
-    assert all(got.count(name) <= most for name in got), got
+@then("at least {count:d} runners get work and none gets more than {maximum:d}")
+def requests_spread(context, count, maximum):
+    runner_ids = dispatched_runners(context)
+    assert len(set(runner_ids)) >= count, runner_ids
+    assert all(runner_ids.count(name) <= maximum for name in runner_ids), (
+        runner_ids
+    )
 
 
 @then("at most {count:d} of them are sent")
 def at_most_sent(context, count):
-    assert 1 <= len(sent(context)) <= count, sent(context)
+    assert 1 <= len(dispatched_runners(context)) <= count, dispatched_runners(
+        context
+    )
 
 
 @then('it is refused with "{reason}"')
 def is_refused(context, reason):
-    assert isinstance(context.last, models.Refuse), context.last
-    assert context.last.reason.value == reason
+    assert isinstance(context.last_decision, models.Refuse), (
+        context.last_decision
+    )
+    assert context.last_decision.reason.value == reason
 
 
 @then('{count:d} of them are refused with "{reason}"')
@@ -263,7 +271,7 @@
 
 @then("it waits")
 def it_waits(context):
-    assert isinstance(context.last, models.Wait), context.last
+    assert isinstance(context.last_decision, models.Wait), context.last_decision
     assert context.sched.next_wake(0.0) is not None
 
 
@@ -288,31 +296,33 @@
 
 @when("its attempt fails at {at:f} s")
 def attempt_fails(context, at):
-    context.tried = context.last.attempt
+    context.failed_attempt = context.last_decision.attempt
     reason = models.RetryReason.CONNECTION_CLOSED
     result = models.AttemptResult(reason)
-    context.sched.finished(context.tried, result, at)
-    context.last = context.sched.retry(context.tried.ticket, context.tried, at)
+    context.sched.finished(context.failed_attempt, result, at)
+    context.last_decision = context.sched.retry(
+        context.failed_attempt.ticket, context.failed_attempt, at
+    )
 
 
 @then("a poll at {at:f} s sends it to another runner")
 def sent_elsewhere(context, at):
     ((_, decision),) = context.sched.poll(at)
-    assert decision.attempt.endpoint.id != context.tried.endpoint.id
-    assert decision.attempt.number != context.tried.number
+    assert decision.attempt.endpoint.id != context.failed_attempt.endpoint.id
+    assert decision.attempt.number != context.failed_attempt.number
 
 
 @when("{count:d} guest requests arrive and all attempts fail at once")
 def all_fail(context, count):
     context.retries = 0
     for _ in range(count):
-        one_arrives(context, "guest")
+        request_arrives(context, "guest")
         attempt_fails(context, 0.0)
-        context.retries += isinstance(context.last, models.Wait)
+        context.retries += isinstance(context.last_decision, models.Wait)
 
 
 @then("at most {count:d} of them are retried")
-def retried(context, count):
+def at_most_retried(context, count):
     assert 1 <= context.retries <= count, context.retries
 
 
@@ -327,7 +337,7 @@
 
 
 @then("{count:d} runners are ejected")
-def ejected(context, count):
+def runners_ejected(context, count):
     names = list(context.runners)
     assert sum(context.health.is_ejected(n, 1.0) for n in names) == count
     assert not any(context.health.is_ejected(n, 10.0) for n in names)
@@ -335,11 +345,11 @@
 
 @given(
     'a queue in which customer "{one}" with share {share:d} and "{other}" '
-    "with share {small:d} have {count:d} requests each"
+    "with share {other_share:d} have {count:d} requests each"
 )
-def shared_queue(context, one, share, other, small, count):
+def shared_queue(context, one, share, other, other_share, count):
     context.queue = admission.RequestQueue(admission.AdmissionConfig())
-    for customer, weight in ((one, share), (other, small)):
+    for customer, weight in ((one, share), (other, other_share)):
         for i in range(count):
             ticket = models.Ticket(
                 f"{customer}{i}",
@@ -379,7 +389,7 @@
 
 
 @then('two bench runs of "{deployment}" in scenario "{name}" agree')
-def runs_agree(context, deployment, name):
+def bench_runs_agree(context, deployment, name):
     scenario = {s.name: s for s in scenarios.SCENARIOS}[name]
     case = scenarios.Case(deployment, name, variants.OURS.name, 7)
     first, second = (
@@ -392,17 +402,17 @@
     "a runner that a router has sent {count:d} requests since its last report"
 )
 def sent_since_report(context, count):
-    context.unreported = loads.RunnerLoad()
+    context.load = loads.RunnerLoad()
     for number in range(count):
-        context.unreported.pending[number] = 0
+        context.load.pending[number] = 0
 
 
 @then(
     "it expects {count:d} requests there alone and more with {others:d} other"
     " routers"
 )
-def expects(context, count, others):
+def expected_requests(context, count, others):
     placer = placement.Placer(placement.PlacementConfig())
-    assert placer.occupancy(context.unreported) == count
+    assert placer.occupancy(context.load) == count
     placer.set_peer_routers(1 + others)
-    assert placer.occupancy(context.unreported) > count
+    assert placer.occupancy(context.load) > count
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -23,19 +23,19 @@
     "a router whose lease runs until {until:f} s and that took the orders at"
     " {at:f} s"
 )
-def holder(context, until, at):
+def entitled_router(context, until, at):
     context.lease = Lease(until, 1)
     context.entitlement = Entitlement()
     context.entitlement.acquire(7, 1, at)
 
 
 @when("the lease lapses and is granted again at {at:f} s")
-def lapse(context, at):
+def lease_lapses(context, at):
     context.lease.granted(at - 0.1, 2.0, at)
 
 
 @when("the lease is renewed without a lapse until {until:f} s")
-def renew(context, until):
+def lease_renewed(context, until):
     now = context.lease.until - 0.5
     while context.lease.until < until:
         context.lease.granted(now, 2.0, now + 0.1)
@@ -75,9 +75,9 @@
     context.rules = Rules(models=(ModelRule("guide", "w2"),))
 
 
-@then("the roll-out ends with at most {away:d} runners loading at once")
-def roll_out_ends(context, away):
-    rollout, loading, most, now = Rollout(), {}, 0, 0.0
+@then("the roll-out ends with at most {max_loading:d} runners loading at once")
+def roll_out_ends(context, max_loading):
+    rollout, loading, most_loading, now = Rollout(), {}, 0, 0.0
     for step in range(10 * LOAD_STEPS * len(context.runners)):
         now = step * 0.5
         for endpoint_id, done_at in list(loading.items()):
@@ -90,8 +90,8 @@
         for order in rollout.next_orders(context.rules, endpoints, now):
             assert order.endpoint.id not in loading
             loading[order.endpoint.id] = step + LOAD_STEPS
-        most = max(most, len(loading))
+        most_loading = max(most_loading, len(loading))
         if not rollout.is_needed(context.rules, endpoints):
             break
     assert not rollout.is_needed(context.rules, endpoints)
-    assert 0 < most <= away, most
+    assert 0 < most_loading <= max_loading, most_loading
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -93,7 +93,7 @@
         self.group = group
         self.runners: dict[str, FakeRunner] = {}
         self.orders: list[tuple[str, LoadWeightsOrder]] = []
-        self.stale: list[LoadWeightsOrder] = []
+        self.refused_orders: list[LoadWeightsOrder] = []
         self.most_loading = 0
         self.interrupted_queues = 0
 
@@ -114,7 +114,7 @@
             raise ExchangeError(RetryReason.ANSWER_TIMEOUT, "mute", True)
         self.interrupted_queues += Clock().now() < runner.queue_ends_at
         if order.expected_orders != runner.accepted or runner.loading:
-            self.stale.append(order)
+            self.refused_orders.append(order)
             return False
         runner.accepted += 1
         runner.loading = True
@@ -126,8 +126,8 @@
     async def _finish(self, runner: FakeRunner, version: int) -> None:
         await anyio.sleep(LOAD_S)
         runner.loading, runner.version = False, version
-        told = attrs.evolve(runner.endpoint, weights_version=str(version))
-        self.member.apply(Announce(told))
+        announced = attrs.evolve(runner.endpoint, weights_version=str(version))
+        self.member.apply(Announce(announced))
 
 
 def runner_endpoint(number: int, version: int) -> Endpoint:
@@ -146,7 +146,7 @@
         {},
     )
     context.requests = BUSY_REQUESTS
-    context.named, context.loses_lead, context.taken_out = [], False, ()
+    context.named, context.loses_leadership, context.taken_out = [], False, ()
 
 
 @given(
@@ -169,7 +169,7 @@
 
 
 @given("runner {number:d} answers its first order not at all")
-def mute_runner(context, number):
+def ignore_first_order(context, number):
     context.unanswered_runners = (number,)
 
 
@@ -186,8 +186,8 @@
 
 
 @when("the member loses the lead and weights {version:d} are named")
-def loses_lead(context, version):
-    context.loses_lead = True
+def loses_leadership(context, version):
+    context.loses_leadership = True
     context.named = [(0.0, version)]
 
 
@@ -200,18 +200,18 @@
         for number, version in context.versions.items():
             endpoint = runner_endpoint(number, version)
             member.apply(Announce(endpoint))
-            muted = int(number in context.unanswered_runners)
+            unanswered = int(number in context.unanswered_runners)
             queue_s = context.queues.get(number, 0.0)
             orders.runners[endpoint.id] = FakeRunner(
                 *(endpoint, version),
-                unanswered_orders=muted,
+                unanswered_orders=unanswered,
                 queue_ends_at=Clock().now() + queue_s,
             )
         for number in context.taken_out:
             member.apply(
                 ChangeStatus(f"r{number}", "1", EndpointStatus.LOADING)
             )
-        member.leads = not context.loses_lead
+        member.leads = not context.loses_leadership
         member.requests = context.requests
         rollout = WeightsRollout(
             member, "a", orders, Clock(), context.takeover_delay_s
@@ -229,7 +229,7 @@
 
 
 @then("within {limit:f} s every runner is in use with weights {version:d}")
-def all_reach(context, limit, version):
+def all_updated(context, limit, version):
     def reached(member):
         return all(
             e.endpoint.weights_version == str(version)
@@ -245,7 +245,7 @@
     "at most {loads:d} runners loaded and at most {out:d} were out of use at"
     " once"
 )
-def at_most(context, loads, out):
+def max_loading_and_out(context, loads, out):
     assert context.orders.most_loading <= loads
     assert context.member.most_out <= out
 
@@ -256,13 +256,13 @@
 
 
 @then("runner {number:d} is put back into use at once")
-def put_back(context, number):
-    def back(member):
+def reactivated(context, number):
+    def is_active(member):
         found = member.state.endpoints[f"r{number}"].endpoint
         return found.status is EndpointStatus.ACTIVE
 
-    anyio.run(run_rollout, context, back, TAKEOVER_DELAY_S / 2)
-    assert back(context.member)
+    anyio.run(run_rollout, context, is_active, TAKEOVER_DELAY_S / 2)
+    assert is_active(context.member)
 
 
 @then("no order is given within {limit:f} s")
@@ -272,18 +272,18 @@
 
 
 @then("each order names the orders accepted before it")
-def orders_named(context):
-    assert context.orders.stale == []
+def orders_not_refused(context):
+    assert context.orders.refused_orders == []
 
 
 @given("runner {number:d} has requests in its queue for {seconds:f} s")
-def queue_lasts(context, number, seconds):
+def set_queue_duration(context, number, seconds):
     context.queues[number] = seconds
 
 
 @then("{count:d} runners were ordered while requests were in their queues")
 @then("{count:d} runner was ordered while requests were in its queue")
-def queues_cut(context, count):
+def orders_during_queue(context, count):
     assert context.orders.interrupted_queues == count, (
         context.orders.interrupted_queues
     )
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -53,7 +53,7 @@
 
 
 @given('routes for "{one}", "{two}" and "{three}" of one host')
-def three_routes(context, one, two, three):
+def given_routes(context, one, two, three):
     routes = [route(prefix, prefix) for prefix in (one, two, three)]
     context.routes = RouteTable(deployment(1, *routes))
 
@@ -159,7 +159,7 @@
 
 
 @when("it restarts and a status of its earlier start arrives")
-def earlier_status(context):
+def status_of_earlier_incarnation(context):
     apply(context, Announce(endpoint(incarnation="2")))
     apply(context, ChangeStatus("e", "1", EndpointStatus.SILENT))
 
@@ -170,35 +170,44 @@
     assert found is EndpointStatus(status), found
 
 
-@given("a heartbeat of incarnation {born:d} with number {number:d}")
-def first_heartbeat(context, born, number):
+@given("a heartbeat of incarnation {incarnation:d} with number {number:d}")
+def first_heartbeat(context, incarnation, number):
     context.heartbeats = HeartbeatTable(0.0, SILENT_S)
-    context.heard = endpoint(str(born))
-    assert context.heartbeats.note(Heartbeat(context.heard, number), 10.0)
+    context.known_endpoint = endpoint(str(incarnation))
+    assert context.heartbeats.note(
+        Heartbeat(context.known_endpoint, number), 10.0
+    )
 
 
-@when("a heartbeat of incarnation {born:d} with number {number:d} arrives")
-def next_heartbeat(context, born, number):
-    told = Heartbeat(endpoint(str(born)), number)
-    context.taken = context.heartbeats.note(told, 11.0)
+@when(
+    "a heartbeat of incarnation {incarnation:d} with number {number:d} arrives"
+)
+def next_heartbeat(context, incarnation, number):
+    heartbeat = Heartbeat(endpoint(str(incarnation)), number)
+    context.result = context.heartbeats.note(heartbeat, 11.0)
 
 
-@then("it is {taken:w}")
-def is_taken(context, taken):
-    assert (context.taken is not None) == (taken == "taken")
+@then("it is {result:w}")
+def heartbeat_result(context, result):
+    assert (context.result is not None) == (result == "taken")
 
 
-@then("it is silent after {late:f} s but not after {soon:f} s")
-def is_silent(context, late, soon):
-    table, heard = context.heartbeats, context.heard
-    assert table.silent([heard], 10.0 + late) == [heard]
-    assert table.silent([heard], 10.0 + soon) == []
+@then("it is silent after {silent_after:f} s but not after {active_until:f} s")
+def is_silent(context, silent_after, active_until):
+    table, known_endpoint = context.heartbeats, context.known_endpoint
+    assert table.silent([known_endpoint], 10.0 + silent_after) == [
+        known_endpoint
+    ]
+    assert table.silent([known_endpoint], 10.0 + active_until) == []
 
 
-@then("one that was never heard is silent {late:f} s after the table began")
-def never_heard(context, late):
-    other = attrs.evolve(context.heard, id="other")
-    assert context.heartbeats.silent([other], late) == [other]
+@then(
+    "one that was never heard is silent {silent_after:f} s after the table"
+    " began"
+)
+def silent_without_heartbeat(context, silent_after):
+    other = attrs.evolve(context.known_endpoint, id="other")
+    assert context.heartbeats.silent([other], silent_after) == [other]
     assert context.heartbeats.silent([other], SILENT_S - 0.1) == []
 
 
@@ -209,16 +218,16 @@
 OWN_IDENTITY = "identity-v1"
 
 
-def silence(context, identity: str) -> float:
+def silence_s(context, identity: str) -> float:
     """Seconds of silence; the leader is no peer of its own."""
     assert identity != OWN_IDENTITY
-    return context.silence.get(identity, 0.0)
+    return context.silence_s.get(identity, 0.0)
 
 
 @given("a group of {count:d} voters that wants {wanted:d}")
 def group_of(context, count, wanted):
     context.members = tuple(member(f"v{i}") for i in range(1, count + 1))
-    context.wanted, context.notes, context.silence = wanted, {}, {}
+    context.wanted, context.notes, context.silence_s = wanted, {}, {}
 
 
 @when("{count:d} members ask to join and all answer")
@@ -227,22 +236,22 @@
     for i in range(count):
         name = f"j{i}"
         context.notes[name] = PeerNote(name, f"identity-{name}", "127.0.0.1", 1)
-    settle(context)
+    apply_changes(context)
 
 
 @when('voter "{name}" is silent for {seconds:f} s')
 def voter_silent(context, name, seconds):
-    context.silence[f"identity-{name}"] = seconds
-    settle(context)
+    context.silence_s[f"identity-{name}"] = seconds
+    apply_changes(context)
 
 
-def settle(context) -> None:
+def apply_changes(context) -> None:
     """Applies changes until none is due; each must keep majorities together."""
     for _ in range(50):
         change = next_change(
             *(context.members, context.notes, OWN_IDENTITY),
-            lambda identity: silence(context, identity) < 1.0,
-            lambda identity: silence(context, identity),
+            lambda identity: silence_s(context, identity) < 1.0,
+            lambda identity: silence_s(context, identity),
             context.wanted,
         )
         if change is None:
