--- a/knapweedarch/loads.py
+++ b/knapweedarch/loads.py
@@ -114,10 +114,12 @@
                 attempt of this router.
         """
         if is_urgent(priority):
-            own = sum(s.tokens for s in self.pending.values() if s.urgent)
-            return self.urgent_tokens + own * pending_weight
-        own = sum(s.tokens for s in self.pending.values())
-        return self.queued_tokens + own * pending_weight
+            pending_tokens = sum(
+                s.tokens for s in self.pending.values() if s.urgent
+            )
+            return self.urgent_tokens + pending_tokens * pending_weight
+        pending_tokens = sum(s.tokens for s in self.pending.values())
+        return self.queued_tokens + pending_tokens * pending_weight
 
     def _is_included(
         self,
--- a/knapweedarch/orders.py
+++ b/knapweedarch/orders.py
@@ -115,7 +115,7 @@
         runners: Sequence[Endpoint],
         now: float,
     ) -> list[LoadOrder]:
-        wanted = [
+        eligible = [
             r
             for r in runners
             if r.id not in self._loading
@@ -125,7 +125,7 @@
                 or _lacks_wanted_version(r, self._versions)
             )
         ]
-        chosen = plan_loads(wanted, model, version, len(self._loading))
+        chosen = plan_loads(eligible, model, version, len(self._loading))
         by_id = {r.id: r for r in runners}
         for endpoint_id in chosen:
             self._loading[endpoint_id] = now
--- a/knapweedarch/placement.py
+++ b/knapweedarch/placement.py
@@ -181,9 +181,9 @@
         Ids of the runners to load, in the order of `runners`.
     """
     serving = [r for r in runners if model in r.serves]
-    old = [r.id for r in serving if r.weights_version != version]
-    away = max(1, len(serving) // 3)
-    return old[: max(0, min(limit, away) - loading)]
+    outdated = [r.id for r in serving if r.weights_version != version]
+    max_out_of_service = max(1, len(serving) // 3)
+    return outdated[: max(0, min(limit, max_out_of_service) - loading)]
 
 
 class Placer:
--- a/knapweedarch/scheduler.py
+++ b/knapweedarch/scheduler.py
@@ -356,7 +356,7 @@
         endpoints = self._eligible(ticket, entry.avoid, now)
         if not endpoints:
             return models.Refuse(models.RefusalReason.NO_CAPACITY)
-        choices = self._placer.candidates(
+        candidates = self._placer.candidates(
             ticket,
             endpoints,
             self._loads,
@@ -364,9 +364,11 @@
             {e.id: self._cache_fill(e) for e in endpoints},
             now,
         )
-        timely = [c for c in choices if now + c.first_token_s < ticket.deadline]
+        timely = [
+            c for c in candidates if now + c.first_token_s < ticket.deadline
+        ]
         if not timely:
-            soonest = min(c.first_token_s for c in choices)
+            soonest = min(c.first_token_s for c in candidates)
             return models.Refuse(models.RefusalReason.DEADLINE, soonest)
         for choice in timely[: self._placer.tries]:
             waiting = self._loads[choice.endpoint.id].waiting_by_class
--- a/knapweedarch/weights_rollout.py
+++ b/knapweedarch/weights_rollout.py
@@ -295,8 +295,8 @@
         """
         until = self._clock.now() + LOAD_TIMEOUT_S
         while self._clock.now() < until:
-            held = self._stored_endpoint(endpoint)
-            if held is None or held.weights_number >= wanted.version:
+            stored = self._stored_endpoint(endpoint)
+            if stored is None or stored.weights_number >= wanted.version:
                 return
             await anyio.sleep(POLL_INTERVAL_S)
         log("load_not_confirmed", endpoint=endpoint.id, version=wanted.version)
@@ -312,8 +312,8 @@
 
     async def _reactivate(self, endpoint: Endpoint) -> None:
         """Sets the status of a loading runner to active."""
-        held = self._stored_endpoint(endpoint)
-        if held is not None and held.status is EndpointStatus.LOADING:
+        stored = self._stored_endpoint(endpoint)
+        if stored is not None and stored.status is EndpointStatus.LOADING:
             await self._change(endpoint, EndpointStatus.ACTIVE, "load ended")
 
     def _drain_timeout_s(self, endpoint: Endpoint) -> float:
