--- a/features/decisions.feature
+++ b/features/decisions.feature
@@ -1,6 +1,7 @@
 Feature: Placement, admission and retries
 
   Scenario: Prompts of other customers and versions share no block
+    Guards against cache hits across customers or weights versions.
     Given a prompt of 40000 bytes
     Then its blocks differ between customers "a" and "b"
     And its blocks differ between versions "v1" and "v2"
@@ -8,32 +9,37 @@
     And hashing it in pieces of 5000 bytes gives the same blocks
 
   Scenario: A gap in the events drops what a runner had
+    Guards against cached blocks that a missed event has evicted.
     Given 3 runners
     And runner r1 has stored the prompt as event 1
     When event 3 of runner r1 arrives
-    Then no runner is known to have the prompt
-    And a snapshot of runner r1 is asked for
+    Then no runner is known to cache the prompt
+    And a snapshot of runner r1 is requested
 
   Scenario: An event of an older incarnation changes nothing
+    Guards against late events that add blocks lost in a restart.
     Given 3 runners
     And runner r1 restarts as incarnation "new"
-    When incarnation "i1" of runner r1 tells that it stored the prompt
-    Then no runner is known to have the prompt
+    When incarnation "i1" of runner r1 reports that it stored the prompt
+    Then no runner is known to cache the prompt
 
   Scenario: A snapshot replaces the entries of a runner
+    Guards against stale entries, and against events that the snapshot includes.
     Given 3 runners
     And runner r1 has stored the prompt as event 1
     When an empty snapshot of runner r1 after event 5 arrives
-    Then no runner is known to have the prompt
+    Then no runner is known to cache the prompt
     And event 5 of runner r1 is ignored
 
   Scenario: A request goes to the runner that has its prefix
+    Guards against a prompt that is computed again although it is cached.
     Given 3 runners
     And runner r1 has stored the prompt as event 1
     When a guest request arrives
     Then it is sent to runner r1 with 4 cached blocks
 
   Scenario: A restarted runner counts as empty
+    Guards against entries that survive a restart of their runner.
     Given 3 runners
     And runner r1 has stored the prompt as event 1
     And runner r1 restarts as incarnation "new"
@@ -41,6 +47,8 @@
     Then it is sent with 0 cached blocks
 
   Scenario: A leaving runner gets no new work
+    Guards against requests that are sent to a runner because of its cache while
+    it shuts down.
     Given 3 runners
     And runner r1 has stored the prompt as event 1
     And runner r1 is leaving
@@ -48,11 +56,13 @@
     Then none of them is sent to runner r1
 
   Scenario: Own sends that no report includes spread a burst
+    Guards against a burst that is sent to one runner between two load reports.
     Given 3 runners with 4 slots
     When 12 guest requests arrive
     Then at least 2 runners get work and none gets more than 6
 
   Scenario: Work that cannot meet its deadline is refused on arrival
+    Guards against requests that wait in vain and delay others.
     Given 3 runners with 4 slots
     And every runner reports 40 requests and 900000 queued tokens
     When a guest request arrives
@@ -60,6 +70,7 @@
     And nothing waits
 
   Scenario: The queue drops what has become too late
+    Guards against requests that stay in the queue after their deadline.
     Given 3 runners with 4 slots
     And every runner reports 4 requests and 0 queued tokens
     When a batch request arrives
@@ -67,6 +78,7 @@
     And at 60.1 s it is refused with "deadline"
 
   Scenario: Batch waits for room that a guest may take
+    Guards against batch requests that use the slots reserved for guests.
     Given 3 runners with 4 slots
     And every runner reports 3 requests and 0 queued tokens
     When a batch request arrives
@@ -75,6 +87,7 @@
     Then it is sent
 
   Scenario: A batch request that has waited counts as a higher class
+    Guards against starvation of a lower class.
     Given 3 runners with 8 slots
     And every runner reports 3 requests and 0 queued tokens
     When a batch request arrives
@@ -83,16 +96,19 @@
     And a poll at 40.2 s sends it
 
   Scenario: A customer's share decides which of its requests come first
+    Guards against a customer that gets more than its share of a class.
     Given a queue in which customer "a" with share 3 and "b" with share 1 have 8 requests each
     Then the first 8 served requests contain 6 of "a"
 
   Scenario: Limits of a customer are refusals with a time
+    Guards against limits without effect and refusals without a retry delay.
     Given 3 runners
     And customer "a" may send 2 requests per second and 3 at once
     When 5 guest requests arrive
     Then 2 of them are refused with "over_limit"
 
   Scenario: A failed attempt is retried elsewhere after a back-off
+    Guards against an immediate retry on the runner that has just failed.
     Given 3 runners
     When a guest request arrives
     And its attempt fails at 1.0 s
@@ -101,16 +117,19 @@
     And a poll at 1.2 s sends it to another runner
 
   Scenario: Retries stay within the budget
+    Guards against retries that multiply the load when all runners fail.
     Given 3 runners
     When 40 guest requests arrive and all attempts fail at once
     Then at most 14 of them are retried
 
   Scenario: At most a third of the runners is ejected
+    Guards against ejections that remove most of the capacity.
     Given 9 runners
     When every runner fails 3 times in a row
     Then 3 runners are ejected
 
   Scenario: A runner that comes back is loaded slowly
+    Guards against a restarted runner that is overloaded with a cold cache.
     Given 3 runners with 8 slots
     And runner r1 restarts as incarnation "new"
     And runner r0 is leaving
@@ -119,14 +138,17 @@
     Then at most 2 of them are sent
 
   Scenario: Weights load on at most three runners at once
+    Guards against loads that take too many runners out of service.
     Given 12 runners
-    Then with 1 load under way the next loads of "v2" are 2 runners
-    And with 3 loads under way the next loads of "v2" are 0 runners
+    Then with 1 load in progress the next loads of "v2" are 2 runners
+    And with 3 loads in progress the next loads of "v2" are 0 runners
 
   Scenario: Equal seeds give equal figures
+    Guards against decisions that depend on anything but the seed and the input.
     Then two bench runs of "huts" in scenario "one slow runner" agree
 
   Scenario: A router learns how many others choose from the same reports
-    Guards against many routers that all count only their own requests.
+    Guards against an overloaded runner when each router counts only its own
+    requests.
     Given a runner that a router has sent 4 requests since its last report
     Then it expects 4 requests there alone and more with 7 other routers
--- a/features/routing.feature
+++ b/features/routing.feature
@@ -1,31 +1,33 @@
 Feature: Configurations, heartbeats and membership of a deployment
 
   Scenario: The longest prefix of a host selects the route
-    Guards against a request that is run by another route's service.
+    Guards against a request that is routed to the service of another route.
     Given routes for "/a/", "/a/b/" and "/" of one host
     Then path "/a/b/c" selects "/a/b/" and path "/a/x" selects "/a/"
     And path "/z" selects "/" and another host selects none
 
   Scenario: Shares of a split are kept
-    Guards against a service that gets more than its share or work at weight 0.
+    Guards against a service that gets more than its share, or requests at
+    weight 0.
     Given a route split 90 to 10 to 0
-    Then 1000 even draws give 900, 100 and 0 requests
+    Then 1000 evenly spaced draws give 900, 100 and 0 requests
 
   Scenario: The highest number is in force, whatever the order
-    Guards against an older configuration that arrives late or again.
+    Guards against an older configuration that arrives late or repeatedly.
     Given a control state
     When configurations 5, 3, 5 and 9 are submitted
     Then each is accepted and configuration 9 of the first sender is in force
     And a snapshot restores it
 
   Scenario: Other content under the number in force changes nothing
-    Guards against two operators that both believe theirs is in force.
+    Guards against two operators that submit different content under one number
+    and both assume that theirs is in force.
     Given a control state
     When configuration 5 is submitted twice with different routes
     Then each is accepted and configuration 5 of the first sender is in force
 
   Scenario: A leaving endpoint stays out, a silent one comes back
-    Guards against a late heartbeat that brings a leaving endpoint back.
+    Guards against a late heartbeat that reactivates a leaving endpoint.
     Given a control state
     And an endpoint that announced itself
     When its status becomes silent and it announces itself
@@ -34,7 +36,7 @@
     Then its status is leaving
 
   Scenario: A loading endpoint is out of use until it has new weights
-    Guards against requests to a runner that refuses them while it loads.
+    Guards against requests to a runner that refuses them while loading weights.
     Given a control state
     And an endpoint that announced itself
     When its status becomes loading and it announces itself
@@ -43,43 +45,45 @@
     Then its status is active
 
   Scenario: A change of an earlier incarnation's status changes nothing
-    Guards against an expiry that hits the endpoint's next start.
+    Guards against a delayed expiry that is applied to the endpoint's next
+    incarnation.
     Given a control state
     And an endpoint that announced itself
-    When it restarts and a status of its earlier start arrives
+    When it restarts and a status of its previous incarnation arrives
     Then its status is active
 
   Scenario Outline: Late and old heartbeats are ignored
-    Guards against a ready heartbeat that overtakes a draining one.
+    Guards against a ready heartbeat that arrives after a later draining one.
     Given a heartbeat of incarnation 100 with number 5
-    When a heartbeat of incarnation <born> with number <number> arrives
-    Then it is <taken>
+    When a heartbeat of incarnation <incarnation> with number <number> arrives
+    Then it is <result>
 
     Examples:
-      | born | number | taken   |
-      | 100  | 6      | taken   |
-      | 100  | 5      | ignored |
-      | 100  | 4      | ignored |
-      | 99   | 9      | ignored |
-      | 101  | 1      | taken   |
+      | incarnation | number | result   |
+      | 100         | 6      | accepted |
+      | 100         | 5      | ignored  |
+      | 100         | 4      | ignored  |
+      | 99          | 9      | ignored  |
+      | 101         | 1      | accepted |
 
   Scenario: An endpoint that is not heard becomes silent, after a new leader too
-    Guards against work for endpoints that are gone, and against a new leader
-    that takes all of them out at once.
+    Guards against requests to endpoints that are gone, and against a new leader
+    that marks all endpoints silent at once.
     Given a heartbeat of incarnation 100 with number 5
     Then it is silent after 4.9 s but not after 4.7 s
-    And one that was never heard is silent 4.9 s after the table began
+    And one without a heartbeat is silent 4.9 s after the table was created
 
   Scenario: Members that ask to join become voters up to the number wanted
-    Guards against a group that stays small, or grows beyond its majority.
+    Guards against a group that stays too small, or that gains voters beyond the
+    number wanted and so needs a larger majority.
     Given a group of 3 voters that wants 5
-    When 4 members ask to join and all answer
+    When 4 members request to join and all answer
     Then the group has 5 voters and 2 learners
 
   Scenario: A joining member takes the place of a silent voter only
     Guards against a voter that is removed without a successor or while alive.
     Given a group of 5 voters that wants 5
-    When 1 member asks to join and all answer
+    When 1 member requests to join and all answer
     Then the group has 5 voters and 1 learner
     When voter "v2" is silent for 3.0 s
     Then the group has 5 voters and 0 learners
@@ -89,7 +93,7 @@
     And "v3" is a member
 
   Scenario: A group that takes in nobody ignores those that ask
-    Guards against a change of the groups that operators form by hand.
+    Guards against changes to groups that operators configure manually.
     Given a group of 3 voters that wants 0
-    When 2 members ask to join and all answer
+    When 2 members request to join and all answer
     Then the group has 3 voters and 0 learners
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -21,7 +21,7 @@
 
 
 def stored_event(name, number, incarnation=None):
-    """An event that tells of the prompt's blocks."""
+    """Returns a cache event that reports the blocks of the prompt."""
     return models.CacheEvent(
         name,
         incarnation or f"i{name[1:]}",
@@ -94,7 +94,7 @@
 
 
 def announce(context):
-    """Gives the runners to the scheduler and the index."""
+    """Passes the runners to the scheduler and the cache index."""
     context.sched.set_endpoints(list(context.runners.values()), 0.0)
     for runner in context.runners.values():
         context.cache.set_endpoint(runner.id, runner.incarnation)
@@ -148,7 +148,7 @@
     assert context.cache.apply(event)
 
 
-@when('incarnation "{old}" of runner {name} tells that it stored the prompt')
+@when('incarnation "{old}" of runner {name} reports that it stored the prompt')
 def old_event(context, old, name):
     assert not context.cache.apply(stored_event(name, 1, old))
 
@@ -166,12 +166,12 @@
     assert context.cache.apply(stored_event(name, number + 1))
 
 
-@then("no runner is known to have the prompt")
+@then("no runner is known to cache the prompt")
 def no_cached_blocks(context):
     assert context.cache.depths(BLOCKS, 0.0) == {}
 
 
-@then("a snapshot of runner {name} is asked for")
+@then("a snapshot of runner {name} is requested")
 def snapshot_wanted(context, name):
     assert context.cache.pop_gaps() == [name]
     assert context.cache.pop_gaps() == []
@@ -201,7 +201,7 @@
 
 
 def dispatched_runners(context):
-    """Ids of the runners that got a request."""
+    """Returns the runner id of each dispatched request."""
     return [
         d.attempt.endpoint.id
         for d in context.decisions
@@ -375,11 +375,11 @@
 
 
 @then(
-    "with {loading:d} loads under way the next loads of "
+    "with {loading:d} loads in progress the next loads of "
     '"{version}" are {count:d} runners'
 )
 @then(
-    "with {loading:d} load under way the next loads of "
+    "with {loading:d} load in progress the next loads of "
     '"{version}" are {count:d} runners'
 )
 def next_loads(context, loading, version, count):
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -11,7 +11,7 @@
 
 
 def runner(number, version="w1", checks=False):
-    """Builds a runner."""
+    """Returns a runner endpoint."""
     return Endpoint(
         *(f"r{number}", f"i{number}", "http://127.0.0.1:1"),
         *(EndpointKind.RUNNER, ("guide",), version),
@@ -20,8 +20,8 @@
 
 
 @given(
-    "a router whose lease runs until {until:f} s and that took the orders at"
-    " {at:f} s"
+    "a router whose lease runs until {until:f} s and that is entitled to order"
+    " since {at:f} s"
 )
 def entitled_router(context, until, at):
     context.lease = Lease(until, 1)
@@ -64,7 +64,7 @@
 
 
 def allowed(context, checks, at):
-    """Asks the entitlement about one runner."""
+    """Returns whether the router may order one runner."""
     endpoint = runner(1, checks=checks)
     return context.entitlement.may_order(endpoint, context.lease, at)
 
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -28,12 +28,12 @@
 LOAD_S = 0.3
 TAKEOVER_DELAY_S = 0.6
 MODEL = "m"
-# Above the load at which more runners may drain at once.
+# Above the load below which more runners may drain concurrently.
 BUSY_REQUESTS = 5
 
 
 class FakeMember:
-    """Applies commands at once; stands in for member and leader."""
+    """Applies commands immediately; replaces the member and its leader."""
 
     def __init__(self):
         self.state = ControlState()
@@ -46,7 +46,7 @@
         self.changed = anyio.Event()
 
     def apply(self, command: object) -> None:
-        """Applies a command as if the log had committed it."""
+        """Applies a command as if it were committed in the log."""
         self.state.apply(COMMANDS.encode(command))
         out = sum(
             e.endpoint.status is EndpointStatus.LOADING
@@ -57,15 +57,15 @@
         self.changed = anyio.Event()
 
     def requests_at(self, endpoint_id: str) -> int:
-        """Requests at an endpoint; enough that no drain is cut short."""
+        """Returns the requests per endpoint; any number delays drains fully."""
         return self.requests
 
     def last_loading_at(self) -> float:
-        """When a runner was last known to be loading."""
+        """Returns the time at which a runner last was loading."""
         return self.last_loading
 
     def leads_until(self) -> float:
-        """End of the leader lease."""
+        """Returns the end of the leader lease."""
         return Clock().now() + 10.0 if self.leads else 0.0
 
     async def change_status(self, endpoint, status, reason) -> None:
@@ -86,7 +86,7 @@
 
 
 class FakeOrders:
-    """Carries out orders and tells of loaded weights by a heartbeat."""
+    """Executes orders and announces the loaded weights."""
 
     def __init__(self, member: FakeMember, group):
         self.member = member
@@ -98,7 +98,7 @@
         self.interrupted_queues = 0
 
     async def report(self, endpoint: Endpoint) -> RunnerState:
-        """Tells a runner's state."""
+        """Returns a runner's state."""
         runner = self.runners[endpoint.id]
         queued = int(Clock().now() < runner.queue_ends_at)
         return RunnerState(
@@ -106,12 +106,12 @@
         )
 
     async def load(self, endpoint: Endpoint, order: LoadWeightsOrder) -> bool:
-        """Starts a load, unless the order is out of date."""
+        """Starts a load unless the order is outdated or a load is running."""
         runner = self.runners[endpoint.id]
         self.orders.append((endpoint.id, order))
         if runner.unanswered_orders:
             runner.unanswered_orders -= 1
-            raise ExchangeError(RetryReason.ANSWER_TIMEOUT, "mute", True)
+            raise ExchangeError(RetryReason.ANSWER_TIMEOUT, "no answer", True)
         self.interrupted_queues += Clock().now() < runner.queue_ends_at
         if order.expected_orders != runner.accepted or runner.loading:
             self.refused_orders.append(order)
@@ -163,12 +163,12 @@
     context.versions[number] = version
 
 
-@given("runner {number:d} was taken out of use by the leader before")
+@given("runner {number:d} was taken out of use by the previous leader")
 def taken_out(context, number):
     context.taken_out = (number,)
 
 
-@given("runner {number:d} answers its first order not at all")
+@given("runner {number:d} does not answer its first order")
 def ignore_first_order(context, number):
     context.unanswered_runners = (number,)
 
@@ -192,7 +192,7 @@
 
 
 async def run_rollout(context, until, limit_s: float) -> None:
-    """Runs a roll-out until a condition holds or the time is over."""
+    """Runs a roll-out until a condition holds or a timeout is reached."""
     member = FakeMember()
     timers = Timers(Clock())
     async with anyio.create_task_group() as group:
@@ -255,7 +255,7 @@
     assert context.orders.orders[0][0] == f"r{number}"
 
 
-@then("runner {number:d} is put back into use at once")
+@then("runner {number:d} is back in use at once")
 def reactivated(context, number):
     def is_active(member):
         found = member.state.endpoints[f"r{number}"].endpoint
@@ -265,39 +265,39 @@
     assert is_active(context.member)
 
 
-@then("no order is given within {limit:f} s")
+@then("no order is sent within {limit:f} s")
 def no_order(context, limit):
     anyio.run(run_rollout, context, lambda member: False, limit)
     assert context.orders.orders == []
 
 
-@then("each order names the orders accepted before it")
+@then("each order contains the number of orders accepted before it")
 def orders_not_refused(context):
     assert context.orders.refused_orders == []
 
 
-@given("runner {number:d} has requests in its queue for {seconds:f} s")
+@given("runner {number:d} has queued requests for {seconds:f} s")
 def set_queue_duration(context, number, seconds):
     context.queues[number] = seconds
 
 
-@then("{count:d} runners were ordered while requests were in their queues")
-@then("{count:d} runner was ordered while requests were in its queue")
+@then("{count:d} runners were ordered while they had queued requests")
+@then("{count:d} runner was ordered while it had queued requests")
 def orders_during_queue(context, count):
     assert context.orders.interrupted_queues == count, (
         context.orders.interrupted_queues
     )
 
 
-@given("a new leader may give no order for {seconds:f} s")
+@given("a new leader may send no order for {seconds:f} s")
 def set_takeover_delay(context, seconds):
     context.takeover_delay_s = seconds
 
 
-@then("the first order is given within {limit:f} s")
+@then("the first order is sent within {limit:f} s")
 def first_order(context, limit):
     anyio.run(run_rollout, context, lambda member: False, limit)
-    assert context.orders.orders, "no order was given"
+    assert context.orders.orders, "no order was sent"
 
 
 @given("the runners have no requests")
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -76,7 +76,9 @@
     context.routes = RouteTable(deployment(1, context.route))
 
 
-@then("{count:d} even draws give {one:d}, {two:d} and {three:d} requests")
+@then(
+    "{count:d} evenly spaced draws give {one:d}, {two:d} and {three:d} requests"
+)
 def draws(context, count, one, two, three):
     chosen = [
         context.routes.choose_service(context.route, i / count)
@@ -158,7 +160,7 @@
     apply(context, Announce(endpoint(weights="2")))
 
 
-@when("it restarts and a status of its earlier start arrives")
+@when("it restarts and a status of its previous incarnation arrives")
 def status_of_earlier_incarnation(context):
     apply(context, Announce(endpoint(incarnation="2")))
     apply(context, ChangeStatus("e", "1", EndpointStatus.SILENT))
@@ -189,7 +191,7 @@
 
 @then("it is {result:w}")
 def heartbeat_result(context, result):
-    assert (context.result is not None) == (result == "taken")
+    assert (context.result is not None) == (result == "accepted")
 
 
 @then("it is silent after {silent_after:f} s but not after {active_until:f} s")
@@ -202,8 +204,8 @@
 
 
 @then(
-    "one that was never heard is silent {silent_after:f} s after the table"
-    " began"
+    "one without a heartbeat is silent {silent_after:f} s after the table was"
+    " created"
 )
 def silent_without_heartbeat(context, silent_after):
     other = attrs.evolve(context.known_endpoint, id="other")
@@ -219,7 +221,7 @@
 
 
 def silence_s(context, identity: str) -> float:
-    """Seconds of silence; the leader is no peer of its own."""
+    """Returns the silence of a peer; the leader itself is not a peer."""
     assert identity != OWN_IDENTITY
     return context.silence_s.get(identity, 0.0)
 
@@ -230,8 +232,8 @@
     context.wanted, context.notes, context.silence_s = wanted, {}, {}
 
 
-@when("{count:d} members ask to join and all answer")
-@when("{count:d} member asks to join and all answer")
+@when("{count:d} members request to join and all answer")
+@when("{count:d} member requests to join and all answer")
 def ask_to_join(context, count):
     for i in range(count):
         name = f"j{i}"
@@ -246,7 +248,10 @@
 
 
 def apply_changes(context) -> None:
-    """Applies changes until none is due; each must keep majorities together."""
+    """Applies changes until none is due, each of one voter at most.
+
+    Majorities before and after such a change always overlap.
+    """
     for _ in range(50):
         change = next_change(
             *(context.members, context.notes, OWN_IDENTITY),
@@ -260,7 +265,7 @@
         after = {m.identity for m in change if m.voter}
         assert len(before ^ after) <= 1
         context.members = change
-    raise AssertionError("the members never settle")
+    raise AssertionError("the membership changes did not end")
 
 
 @then("the group has {voters:d} voters and {learners:d} learners")
