--- a/standins/fake_router.py
+++ b/standins/fake_router.py
@@ -66,7 +66,7 @@
         later_refusal: What it returns after these checks.
         lapses: Lapses of the lease so far.
         lapses_at_check: Lapses that each question about them adds.
-        retries_left: Further attempts that `place_again` allows.
+        retries_left: Further attempts that `place_retry` allows.
         failing: Commands that fail, by class name, and how often.
         submits_twice: Whether each command is applied twice.
     """
