--- a/features/routing.feature
+++ b/features/routing.feature
@@ -20,8 +20,8 @@
     And a snapshot restores it
 
   Scenario: Other content under the number in force changes nothing
-    Guards against two operators that submit different content under one number
-    and both assume that theirs is in force.
+    Guards against two operators with different content under one number who
+    both assume that theirs is in force.
     Given a control state
     When configuration 5 is submitted twice with different routes
     Then each is accepted and configuration 5 of the first sender is in force
