--- a/bench/variants.py
+++ b/bench/variants.py
@@ -151,31 +151,31 @@
 
 # Ways to know the caches, weighed against the chosen mix.
 WAYS = (
-    Variant("index only", change=_placing(spread_s=0.0)),
+    Variant("index only", change=_placing(max_rank_charge_s=0.0)),
     Variant("index at prefix owner", look_up=True),
     Variant("mix without events", no_events=True),
 )
 ABLATIONS = (
     Variant("no recompute charge", change=_placing(recompute_weight=0.0)),
     Variant("no eviction charge", change=_placing(eviction_weight=0.0)),
-    Variant("no balance charge", change=_placing(balance_s=0.0)),
-    Variant("no rendezvous rank", change=_placing(spread_s=0.0)),
+    Variant("no balance charge", change=_placing(occupancy_charge_s=0.0)),
+    Variant("no rendezvous rank", change=_placing(max_rank_charge_s=0.0)),
     Variant("no peer correction", change=_placing(peer_weight=0.0)),
-    Variant("no hot copies", change=_placing(hot_target=NEVER)),
+    Variant("no hot copies", change=_placing(hot_load_target=NEVER)),
     Variant(
         "no assumed entries",
-        change=lambda cfg: attrs.evolve(cfg, assumed_s=0.0),
+        change=lambda cfg: attrs.evolve(cfg, assumed_ttl_s=0.0),
     ),
     Variant(
         "no class limits",
         change=_admitting(fill=dict.fromkeys(models.Priority, 2.0)),
     ),
-    Variant("no ageing", change=_admitting(age_s=NEVER)),
+    Variant("no ageing", change=_admitting(ageing_s=NEVER)),
     Variant(
         "no ejection", change=_retrying(slow_floor_s=NEVER, failures=10**9)
     ),
     Variant("no retry budget", change=_retrying(reserve=NEVER)),
-    Variant("no slow start", change=_retrying(ramp_s=1e-9)),
+    Variant("no slow start", change=_retrying(slow_start_s=1e-9)),
 )
 
 
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -26,14 +26,14 @@
 )
 
 LOAD_S = 0.3
-TAKE_OVER_S = 0.6
+TAKEOVER_DELAY_S = 0.6
 MODEL = "m"
-# Above the load at which more runners may drain at once.
+# Above the load below which more runners may drain concurrently.
 BUSY_REQUESTS = 5
 
 
 class FakeMember:
-    """Applies commands at once; stands in for member and leader."""
+    """Applies commands immediately; replaces the member and its leader."""
 
     def __init__(self):
         self.state = ControlState()
@@ -46,7 +46,7 @@
         self.changed = anyio.Event()
 
     def apply(self, command: object) -> None:
-        """Applies a command as if the log had committed it."""
+        """Applies a command as if it were committed in the log."""
         self.state.apply(COMMANDS.encode(command))
         out = sum(
             e.endpoint.status is EndpointStatus.LOADING
@@ -57,15 +57,15 @@
         self.changed = anyio.Event()
 
     def requests_at(self, endpoint_id: str) -> int:
-        """Requests at an endpoint; enough that no drain is cut short."""
+        """Returns the requests per endpoint; any number delays drains fully."""
         return self.requests
 
     def last_loading_at(self) -> float:
-        """When a runner was last known to be loading."""
+        """Returns the time at which a runner last was loading."""
         return self.last_loading
 
     def leads_until(self) -> float:
-        """End of the leader lease."""
+        """Returns the end of the leader lease."""
         return Clock().now() + 10.0 if self.leads else 0.0
 
     async def change_status(self, endpoint, status, reason) -> None:
@@ -81,24 +81,24 @@
     version: int
     accepted: int = 0
     loading: bool = False
-    mute_orders: int = 0
+    unanswered_orders: int = 0
     queue_ends_at: float = 0.0
 
 
 class FakeOrders:
-    """Carries out orders and tells of loaded weights by a heartbeat."""
+    """Executes orders and announces the loaded weights."""
 
     def __init__(self, member: FakeMember, group):
         self.member = member
         self.group = group
         self.runners: dict[str, FakeRunner] = {}
         self.orders: list[tuple[str, LoadWeightsOrder]] = []
-        self.stale: list[LoadWeightsOrder] = []
+        self.refused_orders: list[LoadWeightsOrder] = []
         self.most_loading = 0
-        self.cut_queues = 0
+        self.interrupted_queues = 0
 
     async def report(self, endpoint: Endpoint) -> RunnerState:
-        """Tells a runner's state."""
+        """Returns a runner's state."""
         runner = self.runners[endpoint.id]
         queued = int(Clock().now() < runner.queue_ends_at)
         return RunnerState(
@@ -106,15 +106,15 @@
         )
 
     async def load(self, endpoint: Endpoint, order: LoadWeightsOrder) -> bool:
-        """Starts a load, unless the order is out of date."""
+        """Starts a load unless the order is outdated or a load is running."""
         runner = self.runners[endpoint.id]
         self.orders.append((endpoint.id, order))
-        if runner.mute_orders:
-            runner.mute_orders -= 1
-            raise ExchangeError(RetryReason.ANSWER_TIMEOUT, "mute", True)
-        self.cut_queues += Clock().now() < runner.queue_ends_at
+        if runner.unanswered_orders:
+            runner.unanswered_orders -= 1
+            raise ExchangeError(RetryReason.ANSWER_TIMEOUT, "no answer", True)
+        self.interrupted_queues += Clock().now() < runner.queue_ends_at
         if order.expected_orders != runner.accepted or runner.loading:
-            self.stale.append(order)
+            self.refused_orders.append(order)
             return False
         runner.accepted += 1
         runner.loading = True
@@ -126,8 +126,8 @@
     async def _finish(self, runner: FakeRunner, version: int) -> None:
         await anyio.sleep(LOAD_S)
         runner.loading, runner.version = False, version
-        told = attrs.evolve(runner.endpoint, weights_version=str(version))
-        self.member.apply(Announce(told))
+        announced = attrs.evolve(runner.endpoint, weights_version=str(version))
+        self.member.apply(Announce(announced))
 
 
 def runner_endpoint(number: int, version: int) -> Endpoint:
@@ -140,9 +140,13 @@
 @given("a leading member and {count:d} runners with weights {version:d}")
 def leading_member(context, count, version):
     context.versions = {i: version for i in range(1, count + 1)}
-    context.take_over_s, context.mute, context.queues = 0.0, (), {}
+    context.takeover_delay_s, context.unanswered_runners, context.queues = (
+        0.0,
+        (),
+        {},
+    )
     context.requests = BUSY_REQUESTS
-    context.named, context.loses_lead, context.taken_out = [], False, ()
+    context.named, context.loses_leadership, context.taken_out = [], False, ()
 
 
 @given(
@@ -151,7 +155,7 @@
 )
 def new_leader(context, count, version):
     leading_member(context, count, version)
-    context.take_over_s = TAKE_OVER_S
+    context.takeover_delay_s = TAKEOVER_DELAY_S
 
 
 @given("runner {number:d} has weights {version:d}")
@@ -159,14 +163,14 @@
     context.versions[number] = version
 
 
-@given("runner {number:d} was taken out of use by the leader before")
+@given("runner {number:d} was taken out of use by the previous leader")
 def taken_out(context, number):
     context.taken_out = (number,)
 
 
-@given("runner {number:d} answers its first order not at all")
-def mute_runner(context, number):
-    context.mute = (number,)
+@given("runner {number:d} does not answer its first order")
+def ignore_first_order(context, number):
+    context.unanswered_runners = (number,)
 
 
 @when("weights {version:d} are named")
@@ -182,13 +186,13 @@
 
 
 @when("the member loses the lead and weights {version:d} are named")
-def loses_lead(context, version):
-    context.loses_lead = True
+def loses_leadership(context, version):
+    context.loses_leadership = True
     context.named = [(0.0, version)]
 
 
-async def play(context, until, limit_s: float) -> None:
-    """Runs a roll-out until a condition holds or the time is over."""
+async def run_rollout(context, until, limit_s: float) -> None:
+    """Runs a roll-out until a condition holds or a timeout is reached."""
     member = FakeMember()
     timers = Timers(Clock())
     async with anyio.create_task_group() as group:
@@ -196,21 +200,21 @@
         for number, version in context.versions.items():
             endpoint = runner_endpoint(number, version)
             member.apply(Announce(endpoint))
-            muted = int(number in context.mute)
+            unanswered = int(number in context.unanswered_runners)
             queue_s = context.queues.get(number, 0.0)
             orders.runners[endpoint.id] = FakeRunner(
                 *(endpoint, version),
-                mute_orders=muted,
+                unanswered_orders=unanswered,
                 queue_ends_at=Clock().now() + queue_s,
             )
         for number in context.taken_out:
             member.apply(
                 ChangeStatus(f"r{number}", "1", EndpointStatus.LOADING)
             )
-        member.leads = not context.loses_lead
+        member.leads = not context.loses_leadership
         member.requests = context.requests
         rollout = WeightsRollout(
-            member, "a", orders, Clock(), context.take_over_s
+            member, "a", orders, Clock(), context.takeover_delay_s
         )
         rollout.start(group, timers)
         group.start_soon(timers.run)
@@ -225,7 +229,7 @@
 
 
 @then("within {limit:f} s every runner is in use with weights {version:d}")
-def all_reach(context, limit, version):
+def all_updated(context, limit, version):
     def reached(member):
         return all(
             e.endpoint.weights_version == str(version)
@@ -233,7 +237,7 @@
             for e in member.state.endpoints.values()
         )
 
-    anyio.run(play, context, reached, limit)
+    anyio.run(run_rollout, context, reached, limit)
     assert reached(context.member), context.member.state.endpoints
 
 
@@ -241,7 +245,7 @@
     "at most {loads:d} runners loaded and at most {out:d} were out of use at"
     " once"
 )
-def at_most(context, loads, out):
+def max_loading_and_out(context, loads, out):
     assert context.orders.most_loading <= loads
     assert context.member.most_out <= out
 
@@ -251,47 +255,49 @@
     assert context.orders.orders[0][0] == f"r{number}"
 
 
-@then("runner {number:d} is put back into use at once")
-def put_back(context, number):
-    def back(member):
+@then("runner {number:d} is back in use at once")
+def reactivated(context, number):
+    def is_active(member):
         found = member.state.endpoints[f"r{number}"].endpoint
         return found.status is EndpointStatus.ACTIVE
 
-    anyio.run(play, context, back, TAKE_OVER_S / 2)
-    assert back(context.member)
+    anyio.run(run_rollout, context, is_active, TAKEOVER_DELAY_S / 2)
+    assert is_active(context.member)
 
 
-@then("no order is given within {limit:f} s")
+@then("no order is sent within {limit:f} s")
 def no_order(context, limit):
-    anyio.run(play, context, lambda member: False, limit)
+    anyio.run(run_rollout, context, lambda member: False, limit)
     assert context.orders.orders == []
 
 
-@then("each order names the orders accepted before it")
-def orders_named(context):
-    assert context.orders.stale == []
+@then("each order contains the number of orders accepted before it")
+def orders_not_refused(context):
+    assert context.orders.refused_orders == []
 
 
-@given("runner {number:d} has requests in its queue for {seconds:f} s")
-def queue_lasts(context, number, seconds):
+@given("runner {number:d} has queued requests for {seconds:f} s")
+def set_queue_duration(context, number, seconds):
     context.queues[number] = seconds
 
 
-@then("{count:d} runners were ordered while requests were in their queues")
-@then("{count:d} runner was ordered while requests were in its queue")
-def queues_cut(context, count):
-    assert context.orders.cut_queues == count, context.orders.cut_queues
+@then("{count:d} runners were ordered while they had queued requests")
+@then("{count:d} runner was ordered while it had queued requests")
+def orders_during_queue(context, count):
+    assert context.orders.interrupted_queues == count, (
+        context.orders.interrupted_queues
+    )
 
 
-@given("a new leader may give no order for {seconds:f} s")
-def takes_over(context, seconds):
-    context.take_over_s = seconds
+@given("a new leader may send no order for {seconds:f} s")
+def set_takeover_delay(context, seconds):
+    context.takeover_delay_s = seconds
 
 
-@then("the first order is given within {limit:f} s")
+@then("the first order is sent within {limit:f} s")
 def first_order(context, limit):
-    anyio.run(play, context, lambda member: False, limit)
-    assert context.orders.orders, "no order was given"
+    anyio.run(run_rollout, context, lambda member: False, limit)
+    assert context.orders.orders, "no order was sent"
 
 
 @given("the runners have no requests")
--- a/knapweedarch/endpoint_table.py
+++ b/knapweedarch/endpoint_table.py
@@ -1,4 +1,4 @@
-"""Endpoints that a router knows, and the feeds of the runners among them."""
+"""Endpoints known to a router, and the feeds of its runners."""
 
 import random
 from collections.abc import Sequence
@@ -24,12 +24,12 @@
 from knapweedarch.timers import Clock
 
 FEED_RETRY_S = 0.2
-FEED_RETRY_LIMIT_S = 5.0
-UNKNOWN_DISTANCE_MS = 1000.0
+FEED_RETRY_MAX_S = 5.0
+DEFAULT_DISTANCE_MS = 1000.0
 
 
 class EndpointTable:
-    """Takes over endpoints from grants and follows the feeds of runners."""
+    """Keeps the endpoints received with grants and follows runner feeds."""
 
     def __init__(
         self,
@@ -49,18 +49,18 @@
         self._endpoints: dict[str, Endpoint] = {}
         self._announced: dict[str, Endpoint] = {}
         self._feeds: dict[str, anyio.CancelScope] = {}
-        self._group: anyio.abc.TaskGroup | None = None
+        self._task_group: anyio.abc.TaskGroup | None = None
 
     def start(self, group: anyio.abc.TaskGroup) -> None:
-        """Gives the task group in which feeds are followed."""
-        self._group = group
+        """Sets the task group in which feeds are followed."""
+        self._task_group = group
 
     def all(self) -> list[Endpoint]:
         """Returns all endpoints."""
         return list(self._endpoints.values())
 
     def active_count(self) -> int:
-        """Counts the endpoints that may get new work."""
+        """Returns the number of endpoints that may get new work."""
         return sum(
             e.status is EndpointStatus.ACTIVE for e in self._endpoints.values()
         )
@@ -77,25 +77,26 @@
         return sorted(found, key=lambda e: (self._distance_ms(e), e.id))
 
     def _distance_ms(self, endpoint: Endpoint) -> float:
-        return self._distances_ms.get(endpoint.data_centre, UNKNOWN_DISTANCE_MS)
+        return self._distances_ms.get(endpoint.data_centre, DEFAULT_DISTANCE_MS)
 
-    def is_news(self, endpoint: Endpoint) -> bool:
-        """Tells whether an announcement must go to the members.
+    def needs_announcement(self, endpoint: Endpoint) -> bool:
+        """Returns whether an announcement must be forwarded to the members.
 
-        What this router already applies is none. A leaving endpoint is told
-        only after all routers know, so this router's knowledge is not enough.
+        An announcement that this router already applies is not forwarded. One
+        of a leaving endpoint is, because the endpoint is answered only after
+        all routers know of it, not only this one.
         """
         if self._announced.get(endpoint.id) == endpoint:
             return endpoint.id not in self._endpoints
         known = self._endpoints.get(endpoint.id)
         return known != endpoint or endpoint.status is EndpointStatus.LEAVING
 
-    def note_announced(self, endpoint: Endpoint) -> None:
-        """Notes that the members have an announcement."""
+    def mark_announced(self, endpoint: Endpoint) -> None:
+        """Records that the members have received an announcement."""
         self._announced[endpoint.id] = endpoint
 
     def update(self, entries: Sequence[EndpointEntry]) -> None:
-        """Takes over changed endpoints."""
+        """Applies changed endpoints."""
         for entry in entries:
             endpoint = entry.endpoint
             before = self._endpoints.get(endpoint.id)
@@ -115,7 +116,7 @@
             scope.cancel()
         if endpoint.kind is EndpointKind.RUNNER:
             scope = self._feeds[endpoint.id] = anyio.CancelScope()
-            self._group.start_soon(self._follow_feed, endpoint, scope)
+            self._task_group.start_soon(self._follow_feed, endpoint, scope)
 
     async def _follow_feed(
         self, endpoint: Endpoint, scope: anyio.CancelScope
@@ -126,18 +127,18 @@
                 try:
                     async for item in self._adapter.follow_feed(endpoint):
                         pause = FEED_RETRY_S
-                        self._take_feed_item(item)
+                        self._apply_feed_item(item)
                 except EndpointError as exc:
                     self._metrics.count("feed.lost")
                     log("feed_lost", endpoint=endpoint.id, reason=exc.reason)
                     self._scheduler.endpoint_lost(
                         endpoint.id, self._clock.now()
                     )
-                # An endpoint that is gone for good costs little to look for.
+                # The growing pause limits the cost of an endpoint that is gone.
                 await anyio.sleep(pause * self._random.uniform(0.5, 1.0))
-                pause = min(2 * pause, FEED_RETRY_LIMIT_S)
+                pause = min(2 * pause, FEED_RETRY_MAX_S)
 
-    def _take_feed_item(self, item: FeedItem) -> None:
+    def _apply_feed_item(self, item: FeedItem) -> None:
         now = self._clock.now()
         match item:
             case LoadReport():
--- a/knapweedarch/gateway.py
+++ b/knapweedarch/gateway.py
@@ -107,7 +107,7 @@
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
         """Waits for the placement decision for a request."""
 
-    async def place_again(
+    async def place_retry(
         self, ticket: Ticket, failed: Attempt
     ) -> Dispatch | Refuse:
         """Waits for the placement decision for a retry."""
--- a/knapweedarch/index.py
+++ b/knapweedarch/index.py
@@ -1,14 +1,14 @@
-"""Knowledge of what each runner has in its prefix cache.
+"""Index of the blocks in the prefix cache of each runner.
 
-One table maps a block hash to a bit mask of runners. Its entries come from
-cache events. A second, small table holds what this router's own requests are
-expected to have stored and no event has confirmed yet; its entries expire.
+One table maps a block hash to a bit mask of runners and is updated by cache
+events. A second, small table holds the blocks that requests of this router
+are expected to have stored and that no event has confirmed; they expire.
 
-The hash of a block already covers customer, model and weights version. A
-runner owns its bit for one incarnation only: a new incarnation or a gap in
-the event numbers gives it a fresh bit, which drops all of its entries at
-once. The retired bit is cleared from the table in bounded steps and reused
-after that.
+The hash of a block covers customer, model and weights version. A runner has
+its bit for one incarnation only: a new incarnation or a gap in the event
+numbers assigns a new bit, which invalidates all entries of the runner at
+once. The retired bit is cleared from the table in bounded steps and then
+reused.
 """
 
 import collections
@@ -17,24 +17,24 @@
 
 from knapweedarch import models
 
-# Time after which an own request's blocks count as absent unless an event or
-# an answer has confirmed them. Covers prefill and the lag of events.
-ASSUMED_S = 4.0
+# Time after which the assumed blocks of a request count as absent unless a
+# cache event or an answer has confirmed them. Covers prefill and event lag.
+ASSUMED_TTL_S = 4.0
 
-# Table entries looked at per event while a retired bit is cleared. Bounds
-# the cost of an event.
-SWEEP_STEP = 64
+# Table entries examined per event while retired bits are cleared. Bounds the
+# cost of an event.
+SWEEP_ENTRIES_PER_EVENT = 64
 
 
 @attrs.define
-class Feed:
-    """State of the event feed of one runner.
+class FeedState:
+    """State of the cache event feed of one runner.
 
     Attributes:
-        incarnation: Incarnation that the entries belong to.
-        bit: Bit of the runner in the masks, as a power of two.
+        incarnation: Incarnation of the runner.
+        bit: The runner's bit in the masks, a power of two.
         next_number: Number of the next event; None before the first one.
-        blocks: Number of blocks in the table.
+        blocks: Number of confirmed blocks of the runner in the table.
     """
 
     incarnation: str
@@ -44,38 +44,38 @@
 
 
 class CacheIndex:
-    """Block hashes by runner, with chain look-up."""
+    """Block hashes by runner, with prefix look-up."""
 
-    def __init__(self, assumed_s: float = ASSUMED_S):
-        self._assumed_s = assumed_s
+    def __init__(self, assumed_ttl_s: float = ASSUMED_TTL_S):
+        self._assumed_ttl_s = assumed_ttl_s
         self._table: dict[int, int] = {}
         self._assumed: dict[int, int] = {}
         self._expiry: dict[tuple[int, int], float] = {}
         self._expiry_queue: collections.deque[tuple[float, int, int]] = (
             collections.deque()
         )
-        self._feeds: dict[str, Feed] = {}
+        self._feeds: dict[str, FeedState] = {}
         self._owner_of_bit: dict[int, str] = {}
-        self._live = 0
-        self._used = 0
-        self._retired = 0
+        self._live_mask = 0
+        self._used_mask = 0
+        self._retired_mask = 0
         self._sweep: list[int] = []
         self._sweep_mask = 0
         self._gaps: set[str] = set()
 
     def __len__(self) -> int:
-        """Number of different blocks in the table."""
+        """Returns the number of distinct confirmed blocks."""
         return len(self._table)
 
     def set_endpoint(self, endpoint_id: str, incarnation: str) -> None:
-        """Adds a runner, or drops its entries if its incarnation is new."""
+        """Adds a runner, or drops its entries if its incarnation changed."""
         feed = self._feeds.get(endpoint_id)
         if feed is None or feed.incarnation != incarnation:
             self._open_feed(endpoint_id, incarnation)
             self._gaps.add(endpoint_id)
 
     def drop_endpoint(self, endpoint_id: str) -> None:
-        """Forgets a runner and its entries."""
+        """Removes a runner and its entries."""
         feed = self._feeds.pop(endpoint_id, None)
         self._gaps.discard(endpoint_id)
         if feed is not None:
@@ -85,8 +85,8 @@
         """Applies a cache event.
 
         Returns:
-            False if the event was ignored: unknown runner, other
-            incarnation, or a number seen before.
+            False if the event was ignored because of an unknown runner,
+            another incarnation or a repeated number.
         """
         feed = self._feeds.get(event.endpoint_id)
         if feed is None or feed.incarnation != event.incarnation:
@@ -104,7 +104,7 @@
                 self._evict(feed, event.blocks)
             case models.CacheChange.CLEARED:
                 self._clear(event)
-        if self._retired or self._sweep:
+        if self._retired_mask or self._sweep:
             self._sweep_step()
         return True
 
@@ -112,8 +112,8 @@
         """Replaces the entries of a runner.
 
         Returns:
-            False if the snapshot was ignored: unknown runner, other
-            incarnation, or older than an event applied before.
+            False if the snapshot was ignored because of an unknown runner or
+            another incarnation, or because a later event was applied.
         """
         feed = self._feeds.get(snapshot.endpoint_id)
         if feed is None or feed.incarnation != snapshot.incarnation:
@@ -129,10 +129,10 @@
         self._store(feed, snapshot.blocks)
         return True
 
-    def take_gaps(self) -> list[str]:
-        """Returns and forgets the runners that need a snapshot.
+    def pop_gaps(self) -> list[str]:
+        """Returns and clears the runners that need a snapshot.
 
-        These are new runners, new incarnations, and runners with a gap in
+        These are new runners, new incarnations and runners with a gap in
         their events.
         """
         gaps, self._gaps = sorted(self._gaps), set()
@@ -141,11 +141,11 @@
     def assume(
         self, endpoint_id: str, blocks: tuple[int, ...], now: float
     ) -> None:
-        """Notes that a runner has, or is about to have, these blocks."""
+        """Adds unconfirmed blocks that a runner has or is about to store."""
         feed = self._feeds.get(endpoint_id)
         if feed is None:
             return
-        until = now + self._assumed_s
+        until = now + self._assumed_ttl_s
         for block in blocks:
             if self._table.get(block, 0) & feed.bit:
                 continue
@@ -154,53 +154,55 @@
             self._expiry_queue.append((until, block, feed.bit))
 
     def depths(self, blocks: tuple[int, ...], now: float) -> dict[str, int]:
-        """Finds how many leading blocks each runner has.
+        """Returns how many leading blocks each runner has.
 
         Returns:
-            Length of the cached prefix in blocks by runner; runners without
-            the first block are left out.
+            Length of the cached prefix in blocks by runner id, without the
+            runners that lack the first block.
         """
         self._expire(now)
         found: dict[str, int] = {}
         table, assumed = self._table, self._assumed
-        held = self._live
+        held = self._live_mask
         for depth, block in enumerate(blocks):
-            still = held & (table.get(block, 0) | assumed.get(block, 0))
-            if still != held:
-                self._note(found, held & ~still, depth)
-                held = still
+            remaining = held & (table.get(block, 0) | assumed.get(block, 0))
+            if remaining != held:
+                self._record_depth(found, held & ~remaining, depth)
+                held = remaining
                 if not held:
                     return found
-        self._note(found, held, len(blocks))
+        self._record_depth(found, held, len(blocks))
         return found
 
-    def blocks_of(self, endpoint_id: str) -> int:
-        """Number of confirmed blocks of a runner."""
+    def block_count(self, endpoint_id: str) -> int:
+        """Returns the number of confirmed blocks of a runner."""
         feed = self._feeds.get(endpoint_id)
         return feed.blocks if feed else 0
 
-    def _note(self, found: dict[str, int], mask: int, depth: int) -> None:
+    def _record_depth(
+        self, found: dict[str, int], mask: int, depth: int
+    ) -> None:
         while depth and mask:
             bit = mask & -mask
             found[self._owner_of_bit[bit]] = depth
             mask ^= bit
 
-    def _open_feed(self, endpoint_id: str, incarnation: str) -> Feed:
+    def _open_feed(self, endpoint_id: str, incarnation: str) -> FeedState:
         old = self._feeds.get(endpoint_id)
         if old is not None:
             self._retire(old.bit)
-        bit = ~self._used & (self._used + 1)
-        self._used |= bit
-        self._live |= bit
+        bit = ~self._used_mask & (self._used_mask + 1)
+        self._used_mask |= bit
+        self._live_mask |= bit
         self._owner_of_bit[bit] = endpoint_id
-        feed = self._feeds[endpoint_id] = Feed(incarnation, bit)
+        feed = self._feeds[endpoint_id] = FeedState(incarnation, bit)
         return feed
 
     def _retire(self, bit: int) -> None:
-        self._live &= ~bit
-        self._retired |= bit
+        self._live_mask &= ~bit
+        self._retired_mask |= bit
 
-    def _store(self, feed: Feed, blocks: tuple[int, ...]) -> None:
+    def _store(self, feed: FeedState, blocks: tuple[int, ...]) -> None:
         table, bit = self._table, feed.bit
         for block in blocks:
             mask = table.get(block, 0)
@@ -208,7 +210,7 @@
                 table[block] = mask | bit
                 feed.blocks += 1
 
-    def _evict(self, feed: Feed, blocks: tuple[int, ...]) -> None:
+    def _evict(self, feed: FeedState, blocks: tuple[int, ...]) -> None:
         table, bit = self._table, feed.bit
         for block in blocks:
             mask = table.get(block, 0)
@@ -240,10 +242,10 @@
     def _sweep_step(self) -> None:
         """Clears retired bits from a bounded number of table entries."""
         if not self._sweep:
-            self._sweep_mask, self._retired = self._retired, 0
+            self._sweep_mask, self._retired_mask = self._retired_mask, 0
             self._sweep = list(self._table)
         keep = ~self._sweep_mask
-        for _ in range(min(SWEEP_STEP, len(self._sweep))):
+        for _ in range(min(SWEEP_ENTRIES_PER_EVENT, len(self._sweep))):
             block = self._sweep.pop()
             mask = self._table.get(block, 0)
             if mask & self._sweep_mask:
@@ -257,12 +259,12 @@
             self._sweep_mask = 0
 
     def _free_bits(self, mask: int) -> None:
-        """Makes swept bits available, unless an assumption still uses one."""
+        """Frees cleared bits unless an unexpired assumption still uses them."""
         for _, bit in self._expiry:
             if mask & bit:
-                self._retired |= bit
+                self._retired_mask |= bit
                 mask &= ~bit
-        self._used &= ~mask
+        self._used_mask &= ~mask
         while mask:
             bit = mask & -mask
             del self._owner_of_bit[bit]
--- a/knapweedarch/loads.py
+++ b/knapweedarch/loads.py
@@ -1,7 +1,7 @@
-"""What a router knows about the load of its runners.
+"""Load estimates of runners.
 
-Load reports arrive late. The router adds its own sends that a report does
-not include yet, and takes off its own attempts that ended since.
+Load reports arrive with a delay. The router adds its own attempts that a
+report does not include yet, and subtracts those that ended after it.
 """
 
 import math
@@ -10,24 +10,24 @@
 
 from knapweedarch import models
 
-# Own sends older than this count as included in a report of a runner that
-# does not tell which attempts its report includes. Two report intervals.
-UNTOLD_LAG_S = 0.5
+# Attempts of this router that are older than this count as included in a report
+# without an acknowledged attempt number. Two report intervals.
+UNACKNOWLEDGED_LAG_S = 0.5
 
 
 def is_urgent(priority: models.Priority) -> bool:
-    """Tells whether runners serve a class before the work of all others."""
+    """Returns whether runners serve a class before all other work."""
     return priority <= models.Priority.GUEST
 
 
 @attrs.define
 class PendingSend:
-    """An own attempt that no report includes yet.
+    """An attempt of this router that no report includes yet.
 
     Attributes:
         tokens: Prompt tokens that the runner has to compute for it.
         urgent: Whether it is a guest's request or an availability check.
-        sent_at: When it was sent, in seconds.
+        sent_at: Time at which it was sent, in seconds.
     """
 
     tokens: int
@@ -40,17 +40,19 @@
     """Load of one runner.
 
     Attributes:
-        running: Reported requests in the batch.
-        queued: Reported requests waiting.
+        running: Reported number of requests in the batch.
+        queued: Reported number of queued requests.
         queued_tokens: Reported prompt tokens not yet computed.
-        urgent_tokens: The part of them that belongs to guests and
-            availability checks; all of them if the runner does not tell.
-        reported_at: Arrival of the report on this router's clock.
-        finished: Own attempts that the report includes and that ended since.
-        pending: Own attempts that the report does not include, by number.
-        awaiting: Requests by class in this router's queue that wait for this
-            runner.
-        ramp_from: When slow start began; minus infinity if it did not.
+        urgent_tokens: Part of `queued_tokens` that belongs to guests and
+            availability checks; all of them if the runner does not report it.
+        reported_at: Arrival time of the report on this router's clock.
+        ended_since_report: Number of this router's attempts that the report
+            includes and that ended after it.
+        pending: Attempts of this router that the report does not include, by
+            number.
+        waiting_by_class: Number of requests by class in this router's queue
+            that wait for this runner.
+        slow_start_at: Start of slow start; minus infinity without one.
     """
 
     running: int = 0
@@ -58,15 +60,15 @@
     queued_tokens: int = 0
     urgent_tokens: int = 0
     reported_at: float = 0.0
-    finished: int = 0
+    ended_since_report: int = 0
     pending: dict[int, PendingSend] = attrs.field(factory=dict)
-    awaiting: list[int] = attrs.field(
+    waiting_by_class: list[int] = attrs.field(
         factory=lambda: [0] * len(models.Priority)
     )
-    ramp_from: float = -math.inf
+    slow_start_at: float = -math.inf
 
-    def take_report(self, report: models.LoadReport, now: float) -> None:
-        """Takes over a report and forgets the sends that it includes."""
+    def apply_report(self, report: models.LoadReport, now: float) -> None:
+        """Applies a report and drops the pending attempts it includes."""
         self.running, self.queued = report.running, report.queued
         self.queued_tokens = report.queued_tokens
         self.urgent_tokens = (
@@ -74,47 +76,52 @@
             if report.urgent_tokens is None
             else report.urgent_tokens
         )
-        self.reported_at, self.finished = now, 0
+        self.reported_at, self.ended_since_report = now, 0
         self.pending = {
             number: send
             for number, send in self.pending.items()
-            if not self._included(number, send, report, now)
+            if not self._is_included(number, send, report, now)
         }
 
-    def sent(self, number: int, tokens: int, urgent: bool, now: float) -> None:
-        """Notes an own attempt."""
+    def record_send(
+        self, number: int, tokens: int, urgent: bool, now: float
+    ) -> None:
+        """Adds an attempt of this router."""
         self.pending[number] = PendingSend(tokens, urgent, now)
 
-    def computed(self, number: int) -> None:
-        """Notes that the prompt of an own attempt is computed."""
+    def record_prefill(self, number: int) -> None:
+        """Records that the prompt of an attempt has been computed."""
         if number in self.pending:
             self.pending[number].tokens = 0
 
-    def ended(self, number: int) -> None:
-        """Notes the end of an own attempt."""
+    def record_end(self, number: int) -> None:
+        """Records the end of an attempt of this router."""
         if self.pending.pop(number, None) is None:
-            self.finished += 1
+            self.ended_since_report += 1
 
     def reported_requests(self) -> int:
-        """Requests of the last report, without own ones that ended since."""
-        return max(0, self.running + self.queued - self.finished)
+        """Returns the reported requests less those that ended since."""
+        return max(0, self.running + self.queued - self.ended_since_report)
 
-    def tokens_before(
+    def tokens_ahead(
         self, priority: models.Priority, pending_weight: float
     ) -> float:
-        """Prompt tokens computed before those of a new request.
+        """Estimates the prompt tokens computed before a new request.
 
         Args:
             priority: Class of the new request.
-            pending_weight: Sends by all routers per own pending send.
+            pending_weight: Estimated attempts of all routers per pending
+                attempt of this router.
         """
         if is_urgent(priority):
-            own = sum(s.tokens for s in self.pending.values() if s.urgent)
-            return self.urgent_tokens + own * pending_weight
-        own = sum(s.tokens for s in self.pending.values())
-        return self.queued_tokens + own * pending_weight
-
-    def _included(
+            pending_tokens = sum(
+                s.tokens for s in self.pending.values() if s.urgent
+            )
+            return self.urgent_tokens + pending_tokens * pending_weight
+        pending_tokens = sum(s.tokens for s in self.pending.values())
+        return self.queued_tokens + pending_tokens * pending_weight
+
+    def _is_included(
         self,
         number: int,
         send: PendingSend,
@@ -123,4 +130,4 @@
     ) -> bool:
         if report.acknowledged:
             return number <= report.acknowledged
-        return send.sent_at < now - UNTOLD_LAG_S
+        return send.sent_at < now - UNACKNOWLEDGED_LAG_S
--- a/knapweedarch/orders.py
+++ b/knapweedarch/orders.py
@@ -1,9 +1,9 @@
-"""Orders to runners: who may give them, and the roll-out of weights.
+"""Orders to runners: the entitlement to send them and the weights roll-out.
 
-One router at a time gives orders. Its right lasts as long as its lease runs
-without a lapse, and the leader gives it to another router only after that
-lease is over at both ends. The fencing number alone would not do, since some
-endpoints ignore it.
+Only one router at a time sends orders. Its entitlement is valid as long as
+its lease is renewed without a lapse, and the leader grants it to another
+router only after that lease has expired on both sides. A fencing number alone
+is not sufficient, because some endpoints ignore it.
 """
 
 from collections.abc import Sequence
@@ -19,50 +19,50 @@
 )
 from knapweedarch.placement import plan_loads
 
-# An order sent in the last moment of the earlier holder's lease is given up
-# by its sender after this time.
+# The sender gives up an order after this time, also one sent immediately
+# before its lease expired.
 ORDER_TIMEOUT_S = 5.0
-LOAD_LIMIT_S = 10.0
-FAILED_PAUSE_S = 2.0
+LOAD_TIMEOUT_S = 10.0
+FAILED_ORDER_DELAY_S = 2.0
 
 
 @attrs.define
 class Entitlement:
-    """The right of this router to give orders.
+    """Entitlement of this router to send orders.
 
     Attributes:
-        fencing_number: Number that goes with each order.
-        epoch: Epoch of the lease in which the right was taken.
-        taken_at: When it was taken, in seconds.
+        fencing_number: Number sent with each order.
+        epoch: Epoch of the lease under which the entitlement was acquired.
+        acquired_at: Time of the acquisition, in seconds.
     """
 
     fencing_number: int = 0
     epoch: int = -1
-    taken_at: float = 0.0
+    acquired_at: float = 0.0
 
-    def taken(self, number: int, epoch: int, now: float) -> None:
-        """Notes that the leader gave the right to this router."""
-        self.fencing_number, self.epoch, self.taken_at = number, epoch, now
+    def acquire(self, number: int, epoch: int, now: float) -> None:
+        """Records that the leader granted the entitlement."""
+        self.fencing_number, self.epoch, self.acquired_at = number, epoch, now
 
     def is_held(self, lease: Lease, now: float) -> bool:
-        """Tells whether the right still belongs to this router."""
+        """Returns whether this router still holds the entitlement."""
         return lease.holds(now) and lease.epoch == self.epoch
 
     def may_order(self, endpoint: Endpoint, lease: Lease, now: float) -> bool:
-        """Tells whether an order may be sent to an endpoint now.
+        """Returns whether an order may be sent to an endpoint now.
 
         An endpoint that ignores fencing numbers gets orders only once those of
-        the earlier holder can no longer be on their way.
+        the previous holder can no longer be in transit.
         """
         if not self.is_held(lease, now):
             return False
-        waited = now >= self.taken_at + ORDER_TIMEOUT_S
-        return endpoint.checks_fencing or waited
+        handover_over = now >= self.acquired_at + ORDER_TIMEOUT_S
+        return endpoint.checks_fencing or handover_over
 
 
 @attrs.frozen
 class LoadOrder:
-    """A runner is to load weights.
+    """Order for a runner to load weights.
 
     Attributes:
         endpoint: The runner.
@@ -76,21 +76,24 @@
 
 
 class Rollout:
-    """Brings runners to the weights versions that the rules name.
+    """Plans orders until runners have the weights versions in the rules.
 
-    Few load at a time: the weight store is limited, and a runner that loads
-    serves nobody.
+    The number of concurrent loads is limited, because the throughput of the
+    weight store is limited and a loading runner serves no requests.
     """
 
     def __init__(self):
         self._loading: dict[str, float] = {}
-        self._paused: dict[str, float] = {}
+        self._paused_until: dict[str, float] = {}
         self._versions: dict[str, str] = {}
 
     def next_orders(
         self, rules: Rules, endpoints: Sequence[Endpoint], now: float
     ) -> list[LoadOrder]:
-        """Returns the orders to give now; models first that guests use."""
+        """Returns the orders to send now.
+
+        Models with the lowest first-token bound, which guests use, come first.
+        """
         runners = [
             e
             for e in endpoints
@@ -98,7 +101,7 @@
             and e.status is EndpointStatus.ACTIVE
         ]
         self._versions = _versions(rules)
-        self._forget_ended(runners, now)
+        self._drop_ended_loads(runners, now)
         orders: list[LoadOrder] = []
         for rule in sorted(rules.models, key=lambda r: r.first_token_s):
             if rule.version:
@@ -112,37 +115,44 @@
         runners: Sequence[Endpoint],
         now: float,
     ) -> list[LoadOrder]:
-        wanted = [
+        eligible = [
             r
             for r in runners
             if r.id not in self._loading
-            and self._paused.get(r.id, 0.0) <= now
-            and (r.weights_version == version or _lacks(r, self._versions))
+            and self._paused_until.get(r.id, 0.0) <= now
+            and (
+                r.weights_version == version
+                or _lacks_wanted_version(r, self._versions)
+            )
         ]
-        chosen = plan_loads(wanted, model, version, len(self._loading))
+        chosen = plan_loads(eligible, model, version, len(self._loading))
         by_id = {r.id: r for r in runners}
         for endpoint_id in chosen:
             self._loading[endpoint_id] = now
         return [LoadOrder(by_id[i], model, version) for i in chosen]
 
-    def _forget_ended(self, runners: Sequence[Endpoint], now: float) -> None:
+    def _drop_ended_loads(
+        self, runners: Sequence[Endpoint], now: float
+    ) -> None:
         known = {r.id: r for r in runners}
         for endpoint_id, started_at in list(self._loading.items()):
             runner = known.get(endpoint_id)
-            done = runner is None or not _lacks(runner, self._versions)
-            if done or now >= started_at + LOAD_LIMIT_S:
+            done = runner is None or not _lacks_wanted_version(
+                runner, self._versions
+            )
+            if done or now >= started_at + LOAD_TIMEOUT_S:
                 del self._loading[endpoint_id]
 
-    def failed(self, order: LoadOrder, now: float) -> None:
-        """Notes an order that the runner refused or did not confirm."""
+    def record_failure(self, order: LoadOrder, now: float) -> None:
+        """Records an order that was refused, unconfirmed or not sent."""
         self._loading.pop(order.endpoint.id, None)
-        self._paused[order.endpoint.id] = now + FAILED_PAUSE_S
+        self._paused_until[order.endpoint.id] = now + FAILED_ORDER_DELAY_S
 
     def is_needed(self, rules: Rules, endpoints: Sequence[Endpoint]) -> bool:
-        """Tells whether any runner lacks the version that the rules name."""
+        """Returns whether any runner lacks the version in the rules."""
         versions = _versions(rules)
         return any(
-            _lacks(endpoint, versions)
+            _lacks_wanted_version(endpoint, versions)
             for endpoint in endpoints
             if endpoint.kind is EndpointKind.RUNNER
             and endpoint.status is EndpointStatus.ACTIVE
@@ -153,11 +163,11 @@
     return {rule.name: rule.version for rule in rules.models if rule.version}
 
 
-def _lacks(runner: Endpoint, versions: dict[str, str]) -> bool:
-    """Tells whether a runner holds none of the versions wanted of it.
+def _lacks_wanted_version(runner: Endpoint, versions: dict[str, str]) -> bool:
+    """Returns whether a runner has none of the versions required of it.
 
-    A runner has one version. If its models want different ones, any of them
-    will do, or it would load one after the other for ever.
+    A runner has one version. If its models require different ones, any of
+    them is accepted; otherwise the runner would alternate between them.
     """
     wanted = {versions[model] for model in runner.serves if model in versions}
     return bool(wanted) and runner.weights_version not in wanted
--- a/knapweedarch/placement.py
+++ b/knapweedarch/placement.py
@@ -1,7 +1,7 @@
-"""Cost of each candidate runner for a request, and the choice.
+"""Estimates the cost of each candidate runner for a request.
 
-The cost is the expected time to the first token in seconds, plus a charge
-for the cached blocks that the choice is expected to push out.
+The cost is the expected time to the first token in seconds, plus charges for
+recomputed and evicted blocks, for occupancy and for a low rendezvous rank.
 """
 
 import math
@@ -12,36 +12,38 @@
 
 from knapweedarch import loads, models, prefixes
 
-# Depths at which the arrival rate of a chain is measured. Few depths bound
-# the cost of a long chain; their spacing grows with the length.
+# Depths in blocks at which the arrival rate of a prefix is measured. Sampling
+# with growing distance bounds the cost of a long prompt.
 SAMPLED_DEPTHS = (0, 1, 2, 3, 5, 8, 13, 21, 34, 55)
 
-# Rendezvous orders kept before all are forgotten; one takes about 1 KB.
-REMEMBERED_ORDERS = 4096
+# Number of cached rendezvous orders at which the cache is cleared; one entry
+# takes about 1 KB.
+RENDEZVOUS_CACHE_SIZE = 4096
 
 
 @attrs.frozen
 class PlacementConfig:
-    """Figures that the cost is made of.
+    """Parameters of the cost function.
 
     Attributes:
         prefill_tokens_s: Prompt tokens that a runner computes per second.
-        service_s: Mean time that a request occupies a place in the batch.
+        service_s: Mean time that a request occupies a slot of the batch.
         distance_s: One-way delay to each data centre in seconds.
         far_s: One-way delay to a data centre not listed.
-        eviction_weight: Charge for a block computed anew, as a part of its
-            prefill time, when the runner's cache is full.
-        recompute_weight: Charge for a block computed anew, as a part of its
-            prefill time, for the requests that it delays.
-        spread_s: Largest charge for a low rank in the rendezvous order.
-        peer_routers: Routers that choose from the same load reports.
-        peer_weight: Part of the peers' expected sends that is counted.
-        balance_s: Charge for a full batch; a half full one costs half.
-        grow_weight: Part of the prefill time that is not charged where a
-            hot prefix needs one more runner.
-        hot_window_s: Time over which the rate of a prefix is measured.
-        hot_target: Load of one runner, as a part of its capacity, at which a
-            prefix gets one more runner.
+        eviction_weight: Charge for a recomputed block when the runner's cache
+            is full, as a fraction of the block's prefill time.
+        recompute_weight: Charge for a recomputed block for the requests that
+            it delays, as a multiple of the block's prefill time.
+        max_rank_charge_s: Charge for the lowest rank in the rendezvous order.
+        peer_routers: Number of routers that use the same load reports.
+        peer_weight: Fraction of the other routers' expected sends that is
+            counted.
+        occupancy_charge_s: Charge for a full batch, proportional below that.
+        replication_discount: Fraction of a block's prefill time that is
+            deducted where a hot prefix needs one more runner.
+        hot_window_s: Time constant of the measured arrival rates.
+        hot_load_target: Load of one runner, as a fraction of its capacity,
+            above which a prefix is replicated to one more runner.
     """
 
     prefill_tokens_s: float = 20_000.0
@@ -50,13 +52,13 @@
     far_s: float = 0.005
     eviction_weight: float = 0.5
     recompute_weight: float = 3.0
-    spread_s: float = 0.02
+    max_rank_charge_s: float = 0.02
     peer_routers: int = 1
     peer_weight: float = 0.1
-    balance_s: float = 0.3
-    grow_weight: float = 0.8
+    occupancy_charge_s: float = 0.3
+    replication_discount: float = 0.8
     hot_window_s: float = 3.0
-    hot_target: float = 1.0
+    hot_load_target: float = 1.0
 
 
 @attrs.frozen
@@ -65,10 +67,10 @@
 
     Attributes:
         endpoint: The runner.
-        cached_blocks: Leading blocks expected in its cache.
+        cached_blocks: Number of leading blocks expected in its cache.
         wait_s: Expected wait before prefill starts, in seconds.
         first_token_s: Expected time to the first token, in seconds.
-        cost_s: First-token time plus the charges, in seconds.
+        cost_s: Expected time to the first token plus charges, in seconds.
     """
 
     endpoint: models.Endpoint
@@ -79,35 +81,35 @@
 
 
 class HotPrefixes:
-    """Arrival rates of block chains, decayed over a few seconds."""
+    """Exponentially decayed arrival rates of prompt prefixes."""
 
     def __init__(self, window_s: float):
         self._window_s = window_s
         self._counts: dict[int, tuple[float, float]] = {}
         self._next_prune = 0.0
 
-    def note(self, block: int, now: float) -> None:
-        """Adds one arrival."""
+    def record_arrival(self, block: int, now: float) -> None:
+        """Counts one arrival of the prefix that ends with a block."""
         count = self.rate(block, now) * self._window_s + 1.0
         self._counts[block] = (count, now)
         if now >= self._next_prune:
             self._prune(now)
 
     def rate(self, block: int, now: float) -> float:
-        """Arrivals per second."""
+        """Returns the arrivals per second."""
         known = self._counts.get(block)
         if known is None:
             return 0.0
         count, at = known
         return count * math.exp((at - now) / self._window_s) / self._window_s
 
-    def sure_rate(self, block: int, now: float) -> float:
-        """Arrivals per second less one standard deviation of the count."""
+    def rate_lower_bound(self, block: int, now: float) -> float:
+        """Returns the rate less one standard deviation of the count."""
         count = self.rate(block, now) * self._window_s
         return max(0.0, count - math.sqrt(count)) / self._window_s
 
     def _prune(self, now: float) -> None:
-        """Drops chains without an arrival for some windows."""
+        """Drops prefixes without an arrival within four windows."""
         horizon = now - 4 * self._window_s
         self._counts = {
             block: known
@@ -122,8 +124,8 @@
 ) -> list[str]:
     """Orders runners by the hash of block and runner, highest first.
 
-    Every router gets the same order without communication, and a runner that
-    joins or leaves moves only its own part of the blocks.
+    Every router computes the same order without communication, and a runner
+    that joins or leaves changes the first runner of only its own blocks.
     """
     key = block.to_bytes(8, "big")
     return sorted(
@@ -136,7 +138,7 @@
 def common_depth(
     blocks: Sequence[int], depths: Mapping[str, int], candidates: int
 ) -> int:
-    """Counts the leading blocks that at least half of the candidates have."""
+    """Returns the number of blocks cached by at least half the candidates."""
     order = sorted(depths.values(), reverse=True)
     needed = (candidates + 1) // 2
     if len(order) < needed:
@@ -144,11 +146,11 @@
     return min(order[needed - 1], len(blocks))
 
 
-def spread_block(blocks: Sequence[int], common: int) -> int | None:
-    """Picks the block whose rendezvous order breaks ties.
+def tie_break_block(blocks: Sequence[int], common: int) -> int | None:
+    """Returns the block whose rendezvous order breaks ties.
 
     It is the first block that fewer than half of the candidates have, so
-    that requests under one widely held prefix spread over its holders.
+    that requests with a widely cached prefix are spread over its runners.
     """
     if not blocks:
         return None
@@ -164,31 +166,32 @@
 ) -> list[str]:
     """Chooses the runners that load a new weights version next.
 
-    At most `limit` loads run at once, because the weight store is limited;
-    a third of the runners, but at least one, may be away at the same time.
+    At most `limit` loads run concurrently, because the throughput of the
+    weight store is limited. At most a third of the runners, but at least one,
+    may be out of service at the same time.
 
     Args:
-        runners: Runners of the model, in the order of least use by guests.
+        runners: Runners of the model, those least used by guests first.
         model: Model name.
-        version: Version wanted.
-        loading: Loads under way now, of any model.
-        limit: Most loads at once.
+        version: Required version.
+        loading: Number of loads of any model in progress.
+        limit: Maximum number of concurrent loads.
 
     Returns:
-        Ids of the runners to order, in order.
+        Ids of the runners to load, in the order of `runners`.
     """
     serving = [r for r in runners if model in r.serves]
-    old = [r.id for r in serving if r.weights_version != version]
-    away = max(1, len(serving) // 3)
-    return old[: max(0, min(limit, away) - loading)]
+    outdated = [r.id for r in serving if r.weights_version != version]
+    max_out_of_service = max(1, len(serving) // 3)
+    return outdated[: max(0, min(limit, max_out_of_service) - loading)]
 
 
 class Placer:
-    """Estimates costs and chooses a runner.
+    """Estimates the cost of runners and ranks them.
 
     Attributes:
-        tries: Cheapest runners tried before a request has to wait. One,
-            because the cost of the first already includes the wait for it.
+        tries: Number of cheapest runners tried before a request has to wait.
+            1 because the cost of the cheapest includes the wait for it.
     """
 
     tries = 1
@@ -197,12 +200,14 @@
         self._cfg = cfg
         self.set_peer_routers(cfg.peer_routers)
         self._hot = HotPrefixes(cfg.hot_window_s)
-        self._orders: dict[tuple[int, tuple[str, ...]], dict[str, int]] = {}
+        self._rank_cache: dict[tuple[int, tuple[str, ...]], dict[str, int]] = {}
 
     def set_peer_routers(self, count: int) -> None:
-        """Tells how many routers choose from the same load reports."""
+        """Sets the number of routers that use the same load reports."""
         self._cfg = attrs.evolve(self._cfg, peer_routers=max(1, count))
-        self._peers = 1 + self._cfg.peer_weight * (self._cfg.peer_routers - 1)
+        self._pending_weight = 1 + self._cfg.peer_weight * (
+            self._cfg.peer_routers - 1
+        )
 
     def wait_s(
         self,
@@ -211,31 +216,33 @@
         priority: models.Priority,
         now: float,
     ) -> float:
-        """Expected wait before a new request's prefill starts.
+        """Estimates the wait in seconds until a new request's prefill starts.
 
-        Requests of the same and higher classes that wait in the routers for
-        this runner are counted as if every router had as many as this one.
+        Requests of the same and higher classes that are queued in routers for
+        this runner are estimated as if every router had as many as this one.
         """
         cfg = self._cfg
-        tokens = load.tokens_before(priority, self._peers)
+        tokens = load.tokens_ahead(priority, self._pending_weight)
         queued = tokens / cfg.prefill_tokens_s
         wait = max(0.0, queued - max(0.0, now - load.reported_at))
-        ahead = sum(load.awaiting[: priority + 1]) * cfg.peer_routers
+        ahead = sum(load.waiting_by_class[: priority + 1]) * cfg.peer_routers
         excess = self.occupancy(load) + ahead + 1 - endpoint.slots
         if excess > 0:
             wait += excess * cfg.service_s / endpoint.slots
         return wait
 
     def occupancy(self, load: loads.RunnerLoad) -> float:
-        """Requests expected in the batch and the queue of a runner."""
-        return load.reported_requests() + len(load.pending) * self._peers
+        """Estimates the requests in the batch and queue of a runner."""
+        return (
+            load.reported_requests() + len(load.pending) * self._pending_weight
+        )
 
-    def arrived(self, ticket: models.Ticket, now: float) -> None:
-        """Notes an arrival for the rates of its prefixes."""
+    def record_arrival(self, ticket: models.Ticket, now: float) -> None:
+        """Counts an arrival at the sampled prefixes of a request."""
         for depth in SAMPLED_DEPTHS:
             if depth >= len(ticket.blocks):
                 break
-            self._hot.note(ticket.blocks[depth], now)
+            self._hot.record_arrival(ticket.blocks[depth], now)
 
     def candidates(
         self,
@@ -246,28 +253,30 @@
         fill: Mapping[str, float],
         now: float,
     ) -> list[Candidate]:
-        """Costs the given runners, cheapest first.
+        """Returns the given runners with their costs, cheapest first.
 
         Args:
             ticket: The request.
-            endpoints: Runners that may take it.
-            runner_loads: Load by runner.
-            depths: Cached leading blocks by runner.
-            fill: Used part of each runner's cache, 0 to 1.
-            now: Seconds on the router's clock.
+            endpoints: Eligible runners.
+            runner_loads: Load by runner id.
+            depths: Number of cached leading blocks by runner id.
+            fill: Used fraction of the cache by runner id, 0 to 1.
+            now: Time of the router's clock in seconds.
         """
         common = common_depth(ticket.blocks, depths, len(endpoints))
         block, copies, hot_depth = self._hot_block(ticket, endpoints, now)
         if copies < 2:
-            block = spread_block(ticket.blocks, common)
+            block = tie_break_block(ticket.blocks, common)
         if block is None:
             block = xxhash.xxh3_64_intdigest(ticket.id.encode())
         ranks = self._ranks(block, endpoints)
-        pays = not loads.is_urgent(ticket.priority)
+        may_replicate = not loads.is_urgent(ticket.priority)
         found = []
         for endpoint in endpoints:
             rank = ranks[endpoint.id]
-            grow = hot_depth if pays and rank < copies else 0
+            replicate_blocks = (
+                hot_depth if may_replicate and rank < copies else 0
+            )
             found.append(
                 self._cost(
                     ticket,
@@ -276,7 +285,7 @@
                     runner_loads[endpoint.id],
                     fill.get(endpoint.id, 1.0),
                     max(0, rank - copies + 1) / len(endpoints),
-                    grow,
+                    replicate_blocks,
                     now,
                 )
             )
@@ -292,17 +301,18 @@
         """Finds the longest prefix that needs several runners.
 
         Returns:
-            Its last block, the runners it needs, and its length in blocks.
+            Last block of the prefix, number of runners that it needs, and
+            its length in blocks.
         """
         cfg = self._cfg
         slots = sum(e.slots for e in endpoints) / len(endpoints)
-        per_runner = cfg.hot_target * slots / cfg.service_s
+        per_runner = cfg.hot_load_target * slots / cfg.service_s
         best = (None, 1, 0)
         for depth in SAMPLED_DEPTHS:
             if depth >= len(ticket.blocks):
                 break
             block = ticket.blocks[depth]
-            rate = self._hot.sure_rate(block, now) * cfg.peer_routers
+            rate = self._hot.rate_lower_bound(block, now) * cfg.peer_routers
             copies = min(len(endpoints), math.ceil(rate / per_runner))
             if copies < 2:
                 break
@@ -312,15 +322,15 @@
     def _ranks(
         self, block: int, endpoints: Sequence[models.Endpoint]
     ) -> dict[str, int]:
-        """Rank of each runner in the rendezvous order, remembered."""
+        """Returns each runner's rendezvous rank, from a cache if possible."""
         key = (block, tuple(e.id for e in endpoints))
-        ranks = self._orders.get(key)
+        ranks = self._rank_cache.get(key)
         if ranks is None:
-            if len(self._orders) >= REMEMBERED_ORDERS:
-                self._orders.clear()
+            if len(self._rank_cache) >= RENDEZVOUS_CACHE_SIZE:
+                self._rank_cache.clear()
             order = rendezvous_order(block, endpoints)
             ranks = {name: rank for rank, name in enumerate(order)}
-            self._orders[key] = ranks
+            self._rank_cache[key] = ranks
         return ranks
 
     def _cost(
@@ -331,7 +341,7 @@
         load: loads.RunnerLoad,
         fill: float,
         rank: float,
-        grow: int,
+        replicate_blocks: int,
         now: float,
     ) -> Candidate:
         cfg = self._cfg
@@ -342,13 +352,13 @@
         new_blocks = max(0, len(ticket.blocks) - cached)
         distance = cfg.distance_s.get(endpoint.data_centre, cfg.far_s)
         first_token = wait + prefill + 2 * distance
-        wanted = max(0, grow - cached)
+        replicated = max(0, replicate_blocks - cached)
         charge = cfg.recompute_weight + cfg.eviction_weight * fill
         cost = (
             first_token
-            + charge * (new_blocks - wanted) * block_s
-            - cfg.grow_weight * wanted * block_s
-            + cfg.balance_s * self.occupancy(load) / endpoint.slots
-            + cfg.spread_s * rank
+            + charge * (new_blocks - replicated) * block_s
+            - cfg.replication_discount * replicated * block_s
+            + cfg.occupancy_charge_s * self.occupancy(load) / endpoint.slots
+            + cfg.max_rank_charge_s * rank
         )
         return Candidate(endpoint, cached, wait, first_token, cost)
--- a/knapweedarch/router.py
+++ b/knapweedarch/router.py
@@ -166,23 +166,23 @@
         Raises:
             ControlError: The command was rejected or its outcome is unknown.
         """
-        if not self._endpoints.is_news(endpoint):
+        if not self._endpoints.needs_announcement(endpoint):
             return None
         result = await self._control.submit(
             Announce(endpoint), ANNOUNCE_TIMEOUT_S
         )
-        self._endpoints.note_announced(endpoint)
+        self._endpoints.mark_announced(endpoint)
         return result
 
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
         """Waits for the placement decision for a request."""
         return await self._dispatcher.place(ticket)
 
-    async def place_again(
+    async def place_retry(
         self, ticket: Ticket, failed: Attempt
     ) -> Dispatch | Refuse:
         """Waits for the placement decision for a retry."""
-        return await self._dispatcher.place_again(ticket, failed)
+        return await self._dispatcher.place_retry(ticket, failed)
 
     async def _set_rules(self, version: int, text: str) -> None:
         try:
@@ -199,7 +199,9 @@
     def _roll_out(self, now: float) -> None:
         endpoints = self._endpoints.all()
         if self._orders.is_due(self.rules, endpoints):
-            self._group.start_soon(self._orders.give, self.rules, endpoints)
+            self._group.start_soon(
+                self._orders.send_due_orders, self.rules, endpoints
+            )
 
     def _report(self, now: float) -> None:
         gauge = self._metrics.gauge
--- a/knapweedarch/services.py
+++ b/knapweedarch/services.py
@@ -212,7 +212,7 @@
     ) -> ServiceAnswer:
         """Tries the endpoints in order, within the retry budget."""
         endpoints = self._endpoints(service_call)
-        self._retry_budget.first_attempt()
+        self._retry_budget.record_first_attempt()
         written = False
         for number in range(MAX_ATTEMPTS):
             endpoint = endpoints[number % len(endpoints)]
@@ -232,7 +232,7 @@
                 written = written or exc.written
                 if written and service_call.method not in IDEMPOTENT_METHODS:
                     break
-                if not self._retry_budget.take():
+                if not self._retry_budget.try_spend():
                     break
             if number + 1 >= len(endpoints):
                 delay = back_off_s(RetryConfig(), number + 1, self._random)
