--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,1 +1,1 @@
-"""Model checking of the core protocol."""
+"""Specifications of the core protocol and their model checking."""
--- a/spec/check.py
+++ b/spec/check.py
@@ -1,8 +1,8 @@
-"""Checks every specification and every seeded mutation; one command.
+"""Checks every specification and every seeded mutation.
 
-Prints states, time and bounds of each run. The exit code is 0 only when every
-invariant holds in the whole state space, every mutation is caught, and the
-code agrees with the traces of the specifications.
+Prints the states, CPU time and bounds of each run. The exit code is 0 only if
+every invariant holds in the whole state space, every mutation is detected, and
+the code agrees with the traces of the specifications.
 """
 
 import sys
@@ -19,7 +19,7 @@
 
 
 def check_model(model: Model) -> bool:
-    """Checks one specification without mutation."""
+    """Checks one specification without a mutation."""
     found = explore(model.build(""))
     ok = found.exhaustive and not found.refuted
     print(
@@ -35,7 +35,7 @@
 def check_mutation(
     model: Model, mutation: Mutation, refuting_traces: dict[str, list]
 ) -> bool:
-    """Checks that the mutated specification is refuted; keeps the trace."""
+    """Checks that a mutation is refuted and records the refuting trace."""
     found = explore(model.build(mutation.name), mutation.violates)
     ok = all(name in found.refuted for name in mutation.violates)
     if ok:
@@ -56,7 +56,7 @@
 
 
 def main() -> int:
-    """Runs everything; returns the exit code."""
+    """Runs all checks and returns the exit code."""
     start = time.process_time()
     refuting_traces: dict[str, list] = {}
     results = [check_model(model) for model in MODELS]
--- a/spec/checking.py
+++ b/spec/checking.py
@@ -1,4 +1,4 @@
-"""Runs one specification through minicheck, with and without a mutation."""
+"""Checks one specification with minicheck, with or without a mutation."""
 
 import gc
 import random
@@ -18,7 +18,7 @@
 
     Attributes:
         name: What the faulty specification does differently.
-        breaks: Invariants that must be refuted.
+        violates: Invariants that must be refuted.
     """
 
     name: str
@@ -31,9 +31,9 @@
 
     Attributes:
         name: Name in the report.
-        bounds: The bounds as text.
-        build: Creates the protocol; the argument is a mutation name or "".
-        mutations: Faults that the checker must find.
+        bounds: Description of the bounds.
+        build: Creates the protocol for a mutation name; "" is no mutation.
+        mutations: Faults that the model checker must detect.
     """
 
     name: str
@@ -44,12 +44,12 @@
 
 @attrs.frozen
 class SearchResult:
-    """Result of one run.
+    """Result of one search.
 
     Attributes:
-        states: Reachable states that were visited.
+        states: Number of reachable states that were visited.
         exhaustive: Whether every reachable state was visited.
-        refuted: Shortest trace by invariant name, each a list of labels.
+        refuted: Step labels of the shortest counterexample by invariant name.
         cpu_s: Processor time in seconds.
     """
 
@@ -60,11 +60,11 @@
 
 
 class _SearchDone(SearchIncomplete):
-    """Every violation that the caller waits for was found."""
+    """Ends a search once every wanted violation has been found."""
 
 
 def _stop_when_refuted(protocol: Protocol, wanted: frozenset[str]) -> None:
-    """Ends the search at the last violation that matters."""
+    """Ends the search once no further violation is wanted."""
     outstanding = set(wanted or protocol.invariants)
     original_transitions = protocol.transitions
 
@@ -94,11 +94,12 @@
 def explore(protocol: Protocol, wanted: tuple[str, ...] = ()) -> SearchResult:
     """Visits the reachable states until each wanted invariant is refuted.
 
-    Without wanted invariants it stops at the first violation of any.
+    If no invariants are given, the search stops at the first violation.
     """
     start = time.process_time()
     _stop_when_refuted(protocol, frozenset(wanted))
-    # Every object made here is kept until the end; collections only cost time.
+    # All objects live until the search ends, so garbage collection frees
+    # nothing and only costs time.
     gc.disable()
     result = check_safety(protocol, MAX_STATES)
     gc.enable()
@@ -118,7 +119,8 @@
 def walk(protocol: Protocol, rng: random.Random, steps: int) -> list:
     """Returns a random trace as (label, state), without the initial state.
 
-    Each kind of step is equally likely, so that rare ones are not drowned.
+    Each kind of step is equally likely, so that kinds with few successors are
+    taken as often as those with many.
     """
     trace, state = [], protocol.initial
     for _ in range(steps):
--- a/spec/lease_spec.py
+++ b/spec/lease_spec.py
@@ -1,8 +1,8 @@
-"""Specification of router leases and of changes answered as in force.
+"""Specification of router leases and of changes acknowledged as in force.
 
-Time is counted in ticks. `GRANT` ticks are the time that the leader counts
-for a lease (2.1 s); the router's clock may be the slowest allowed one, on
-which 2.0 s last as long. A frozen process is one whose steps are all late.
+Time is counted in ticks. `GRANT_TICKS` is the time for which the leader counts
+a lease (2.1 s). The router's clock may be the slowest one allowed, on which
+2.0 s last as long. A suspended process is one whose steps are all delayed.
 """
 
 from functools import partial
@@ -20,11 +20,12 @@
 class Leader(NamedTuple):
     """A leader in one term.
 
-    `lease` and `wait` are ticks left of the leader lease and of the wait for
-    the predecessor's grants; `applied` is the newest version it has applied;
-    `ready` is set once an entry of its term is committed; `grants` holds for
-    each router (ticks left, applied version); `limits` holds for each version
-    that it committed the ticks left until it must be in force.
+    `lease` and `wait` are the ticks left of the leader lease and of the wait
+    for the grants of the previous leader. `applied` is the newest version that
+    it has applied. `ready` is set once an entry of its term is committed.
+    `grants` holds (ticks left, applied version) for each router. `limits` holds
+    (version, ticks left until it must be in force) for each version that it
+    committed.
     """
 
     lease: int
@@ -36,7 +37,10 @@
 
 
 class Message(NamedTuple):
-    """A renewal or grant on its way; `left` counts from when it was asked."""
+    """A renewal or grant in flight.
+
+    `left` is the number of ticks left, counted from when the renewal was sent.
+    """
 
     kind: str
     left: int
@@ -44,7 +48,7 @@
 
 
 class Router(NamedTuple):
-    """A router: version applied, ticks left of its lease, its messages."""
+    """A router: applied version, lease ticks left and messages in flight."""
 
     version: int
     lease: int
@@ -52,9 +56,9 @@
 
 
 class State(NamedTuple):
-    """Whole system; the last of `leaders` holds the newest term.
+    """State of the whole system; the last of `leaders` has the newest term.
 
-    `answered` is the newest version answered as in force; `reverted` is set
+    `answered` is the newest version acknowledged as in force. `reverted` is set
     when a running router goes back to an older version.
     """
 
@@ -70,7 +74,7 @@
 
 
 class LeaseSpec:
-    """Transitions of leases within bounds."""
+    """Transitions of the lease protocol within bounds."""
 
     def __init__(
         self,
@@ -87,7 +91,7 @@
         self.mutation = mutation
 
     def initial(self) -> State:
-        """A leader has just taken office; no router has a lease."""
+        """Returns a state with a new leader and no router lease."""
         leader = Leader(0, GRANT_TICKS, 0, True, ((0, 0),) * self.routers)
         router = Router(0, 0, ())
         return State(0, 0, (leader,), (router,) * self.routers)
@@ -151,7 +155,7 @@
             self._update_leader(state, caught_up, out, "catch up")
 
     def _elect(self, state: State, out: list) -> None:
-        """A new leader takes office; it may not know the last commits."""
+        """Elects a leader, which may not have applied the latest commits."""
         if len(state.leaders) >= self.max_leaders:
             return
         if state.leaders[-1].lease and self.mutation != "vote under a lease":
@@ -180,7 +184,10 @@
     def _answer_in_force(
         self, state: State, n: int, leader: Leader, out: list
     ) -> None:
-        """Any leader, also one that was deposed while it was frozen."""
+        """Acknowledges changes as in force.
+
+        Any leader may do so, also one that was replaced while suspended.
+        """
         for version in range(state.answered + 1, leader.applied + 1):
             waiting = any(t and v < version for t, v in leader.grants)
             if self.mutation == "answer once committed":
@@ -202,10 +209,10 @@
             out.append((f"renew {r}", state._replace(routers=routers)))
 
     def _restart(self, state: State, r: int, router: Router, out: list):
-        """The router comes back without state, under a new incarnation.
+        """Restarts a router without state, under a new incarnation.
 
-        The leader's entry for the old incarnation only delays answers, so it
-        is dropped at once.
+        The leaders' grants for the old incarnation can only delay answers, so
+        they are dropped at once.
         """
         if router == Router(0, 0, ()):
             return
@@ -281,7 +288,7 @@
 
 
 def in_force_everywhere(state: dict) -> bool:
-    """A router with a lease has every change answered as in force."""
+    """Every router with a lease has applied all acknowledged changes."""
     return all(
         router.version >= state["answered"]
         for router in state["routers"]
@@ -295,7 +302,7 @@
 
 
 def no_change_is_held_up(state: dict) -> bool:
-    """No lease runs past the time by which a change must be in force."""
+    """No lease outlasts the time by which a change must be in force."""
     return not any(
         ticks and known < version
         for leader in state["leaders"]
@@ -308,7 +315,7 @@
 def build(
     routers: int, leaders: int, messages: int, versions: int, mutation: str
 ) -> Protocol:
-    """Creates the protocol."""
+    """Creates the protocol for the model checker."""
     spec = LeaseSpec(routers, leaders, messages, versions, mutation)
     return Protocol(
         "lease",
--- a/spec/log_spec.py
+++ b/spec/log_spec.py
@@ -1,9 +1,10 @@
 """Specification of the replicated log.
 
-Identities 0, 1 and 2 form the group; 3 and 4 are blank replacements. A vote
-or append exchange is one step, because the receiver syncs before it answers
-and a late answer equals a late `win` or `commit` step. An append carries any
-prefix of the leader's log, which covers late and repeated requests.
+Identities 0, 1 and 2 form the group; 3 and 4 are replacements with blank disks.
+The request and reply of a vote or an append are one step, because the receiver
+syncs before it replies, and a delayed reply equals a delayed `win` or `commit`
+step. An append carries any prefix of the leader's log, which covers delayed and
+repeated requests.
 """
 
 from functools import partial
@@ -19,17 +20,18 @@
 
 
 class Entry(NamedTuple):
-    """A log entry; `members` is the new voter list, empty for data."""
+    """A log entry; `members` is the new list of voters, or empty for data."""
 
     term: int
     members: tuple[int, ...] = ()
 
 
 class Node(NamedTuple):
-    """One identity.
+    """State of one identity.
 
-    `votes` are the identities that granted a vote to this candidate; `match`
-    is what the leader knows of the others' logs. Both are lost on restart.
+    `votes` holds the identities that voted for this candidate. `match` holds,
+    for each identity, the length of its log that the leader knows to match its
+    own. Both are lost on restart.
     """
 
     role: int
@@ -41,12 +43,12 @@
 
 
 class State(NamedTuple):
-    """Whole system.
+    """State of the whole system.
 
-    `committed` and `commit_term` are what the latest commit covered; `elected`
-    holds the winners of each term; `changed` is set when a commit contradicts
-    an earlier one; `losses` counts lost disks; `repaired` tells whether the
-    latest loss has been repaired.
+    `committed` and `commit_term` are the log and the term of the latest commit.
+    `elected` holds the winners of each term. `contradicted` is set when a
+    commit contradicts an earlier one. `losses` counts lost disks; `repaired`
+    is set once the latest loss has been repaired.
     """
 
     nodes: tuple[Node, ...]
@@ -59,7 +61,7 @@
 
 
 def members_of(log: tuple[Entry, ...]) -> tuple[int, ...]:
-    """Returns the voters: the latest list in the log, committed or not."""
+    """Returns the latest list of voters in the log, committed or not."""
     for entry in reversed(log):
         if entry.members:
             return entry.members
@@ -75,7 +77,7 @@
 
 
 def merge(log: tuple, sent: tuple) -> tuple:
-    """Appends what is missing; cuts only at a conflicting entry."""
+    """Appends the missing entries; truncates only at a conflicting entry."""
     for i, entry in enumerate(sent):
         if i >= len(log) or log[i] != entry:
             return sent
@@ -83,7 +85,7 @@
 
 
 class LogSpec:
-    """Transitions of the log within bounds."""
+    """Transitions of the replicated log within bounds."""
 
     def __init__(
         self, max_term: int, max_log: int, max_losses: int, mutation: str
@@ -94,9 +96,10 @@
         self.mutation = mutation
 
     def initial(self) -> State:
-        """Identity 0 leads in term 1; by symmetry the choice is no loss.
+        """Returns a state in which identity 0 leads in term 1.
 
-        With replacement one entry is already committed, on 0 and 1 only.
+        By symmetry, this choice loses no generality. With replacements, one
+        entry is already committed, and only 0 and 1 hold it.
         """
         committed_log = (Entry(1),) if self.max_losses else ()
         match = (len(committed_log), len(committed_log), 0, 0, 0)
@@ -206,7 +209,7 @@
 
     def _propose(self, state: State, n: int, node: Node, out: list) -> None:
         if self.max_losses and _last_position(node.log)[0] == node.term:
-            return  # With replacement, data is one entry for each term.
+            return  # With replacements, each term has one data entry.
         if len(node.log) < self.max_log:
             extended = self._extend(state, n, Entry(node.term))
             out.append((f"propose {n}", extended))
@@ -237,7 +240,7 @@
                     out.append((label, state._replace(nodes=nodes)))
 
     def _sizes(self, node: Node) -> range:
-        """Lengths of the prefix sent; with replacement the whole log."""
+        """Returns the prefix lengths to send; with replacements, only all."""
         size = len(node.log)
         return range(size if self.max_losses else 0, size + 1)
 
@@ -297,7 +300,11 @@
         out.append((f"lose {n}", lost))
 
     def _change_members(self, state: State, n: int, node: Node, out: list):
-        """One change at a time, after an entry of the own term committed."""
+        """Adds the replacement or removes the lost voter.
+
+        Only one change may be pending, and the leader must have committed an
+        entry of its own term.
+        """
         if not state.losses or state.repaired:
             return
         if self.mutation != "change members before own commit" and (
@@ -324,12 +331,12 @@
 
 
 def one_leader_per_term(state: dict) -> bool:
-    """No term has two winners."""
+    """No term has two leaders."""
     return all(len(winners) <= 1 for winners in state["elected"])
 
 
 def committed_stays(state: dict) -> bool:
-    """Commits agree, and each later leader holds all that was committed."""
+    """Commits agree, and each later leader holds every committed entry."""
     if state["contradicted"]:
         return False
     committed_log, term = state["committed"], state["commit_term"]
@@ -341,7 +348,7 @@
 
 
 def blank_never_counts(state: dict) -> bool:
-    """What an identity granted or acknowledged is still on its disk."""
+    """An identity still stores each vote and entry that it acknowledged."""
     nodes = state["nodes"]
     for node in nodes:
         for v in node.votes:
@@ -356,7 +363,7 @@
 
 
 def survivors_hold_committed(state: dict) -> bool:
-    """While a majority of the voters lives, one of them holds the commits."""
+    """If a majority of voters is left, one holds all committed entries."""
     committed_log = state["committed"]
     voters = members_of(committed_log)
     alive = [v for v in voters if state["nodes"][v].role < LOST]
@@ -370,7 +377,7 @@
 def build(
     max_term: int, max_log: int, max_losses: int, mutation: str
 ) -> Protocol:
-    """Creates the protocol."""
+    """Creates the protocol for the model checker."""
     spec = LogSpec(max_term, max_log, max_losses, mutation)
     return Protocol(
         "log",
--- a/spec/once_spec.py
+++ b/spec/once_spec.py
@@ -1,8 +1,8 @@
 """Specification of the at-most-once record of one idempotency key.
 
-Attempts 0 and 2 are callers' requests at router 0, attempt 1 is one at
-router 1. Commands to the log may be delayed, overtaken and repeated. A check
-of the lease and the send that follows it are one step.
+Attempts 0 and 2 are requests of callers at router 0, attempt 1 is one at
+router 1. Commands to the log may be delayed, reordered and repeated. The check
+of the lease and the send after it are one step.
 """
 
 from functools import partial
@@ -21,7 +21,7 @@
 
 
 class Record(NamedTuple):
-    """Record of the key; `answer` is the attempt whose run it answers."""
+    """Record of the key; `answer` is the attempt whose answer is stored."""
 
     status: str
     attempt: int
@@ -29,7 +29,7 @@
 
 
 class Command(NamedTuple):
-    """A command on its way to the log; `status` is what a settle says."""
+    """A command in flight to the log; a settle sets the record to `status`."""
 
     verb: str
     attempt: int
@@ -44,9 +44,9 @@
 class Attempt(NamedTuple):
     """A caller's request.
 
-    `reply` is the log's reply on its way, `session` the lease session in
-    which it reserved, `told` and `answer` what the caller was told, `network`
-    where the call to the service is.
+    `reply` is the log's reply in flight, `session` the lease session in which
+    the key was reserved. `reported` and `answer` are the outcome and answer
+    reported to the caller. `network` is the state of the call to the service.
     """
 
     phase: int = IDLE
@@ -59,10 +59,10 @@
 
 
 class State(NamedTuple):
-    """Whole system.
+    """State of the whole system.
 
-    `leases` holds for each router (session, running); `was_unknown` tells
-    whether the record ever said unknown.
+    `leases` holds (session, running) for each router. `was_unknown` is set once
+    the status of the record has been unknown.
     """
 
     record: Record | None
@@ -83,7 +83,7 @@
 
 
 class OnceSpec:
-    """Transitions of the record within bounds."""
+    """Transitions of the at-most-once record within bounds."""
 
     def __init__(
         self,
@@ -98,7 +98,7 @@
         self.mutation = mutation
 
     def initial(self) -> State:
-        """Nothing has been asked yet."""
+        """Returns the state before the first request."""
         attempts = (Attempt(),) * len(ROUTER_OF)
         leases = ((0, True),) * 2
         return State(
@@ -123,12 +123,12 @@
         self._abandon(state, out)
         return out
 
-    # The replicated log.
+    # Replicated log
 
     def apply_to_record(
         self, record: Record | None, command: Command
     ) -> tuple[Record | None, str, int | None]:
-        """Returns the record afterwards and the reply to a reserve."""
+        """Returns the new record, and the status and answer for a reserve."""
         a = command.attempt
         if command.verb == "reserve":
             if record is None:
@@ -192,7 +192,7 @@
         after = _note_unknown(state._replace(record=unknown))
         out.append((f"abandon {record.attempt}", after))
 
-    # A router.
+    # Router
 
     def _may_send(self, state: State, a: int, attempt: Attempt) -> bool:
         session, running = state.leases[ROUTER_OF[a]]
@@ -245,7 +245,7 @@
         status: str,
         answer: int | None = None,
     ) -> State:
-        """Tells the caller, and the log through a settle."""
+        """Reports the outcome to the caller and sends a settle to the log."""
         network = state.attempts[a].network
         closed = Attempt(
             CLOSED, reported=reported, answer=answer, network=network
@@ -254,7 +254,10 @@
         return self._with_attempt(state, a, closed, state.commands | {settle})
 
     def _give_up(self, state: State, a: int, attempt: Attempt, out: list):
-        """Nothing was written: refused connection, time-out, lost lease."""
+        """Ends an attempt that wrote nothing to the service.
+
+        The causes are a refused connection, a time-out and a lost lease.
+        """
         if attempt.phase in (RESERVING, HELD):
             out.append((f"give up {a}", self._close(state, a, *[NOT_RUN] * 2)))
 
@@ -303,7 +306,7 @@
             crossed = self._close(state, a, DONE, DONE, OTHER_KEY)
             out.append((f"crossed {a}", crossed))
 
-    # Leases and crashes.
+    # Leases and crashes
 
     def _change_lease(self, state: State, r: int, out: list) -> None:
         session, running = state.leases[r]
@@ -333,7 +336,7 @@
 
 
 def answer_of_its_key(state: dict) -> bool:
-    """Stored and told answers come from a run of this key."""
+    """Stored and reported answers come from a run of this key."""
     attempts, record = state["attempts"], state["record"]
     answers = [x.answer for x in attempts if x.reported == DONE]
     if record is not None and record.status == DONE:
@@ -345,12 +348,12 @@
 
 
 def no_send_after_unknown(state: dict) -> bool:
-    """Nobody sends once the key's outcome is recorded as unknown."""
+    """No attempt sends after the outcome was recorded as unknown."""
     return not state["sent_after_unknown"]
 
 
 def not_run_is_final(state: dict) -> bool:
-    """What was told as not run has not run and cannot run."""
+    """A call reported as not run has not run and cannot run later."""
     return all(
         x.network in (ABSENT, DROPPED) and x.phase == CLOSED
         for x in state["attempts"]
@@ -359,7 +362,7 @@
 
 
 def build(repeats: int, crashes: int, sessions: int, mutation: str) -> Protocol:
-    """Creates the protocol."""
+    """Creates the protocol for the model checker."""
     spec = OnceSpec(repeats, crashes, sessions, mutation)
     return Protocol(
         "once",
--- a/spec/replay.py
+++ b/spec/replay.py
@@ -1,8 +1,8 @@
 """Replays traces of the specifications against the core modules.
 
 Seeded random traces must agree with the code. Traces that refute a mutation,
-and test doubles with a seeded fault, must be told apart from the code, else
-the replay would prove nothing.
+and test doubles with a seeded fault, must disagree with it; otherwise the
+replay could not detect a fault of the code.
 """
 
 import random
@@ -22,15 +22,15 @@
 ONCE_WALKS, ONCE_STEPS = 1_000, 40
 LEASE_WALKS, LEASE_STEPS = 300, 60
 LOG_WALKS, LOG_STEPS = 200, 60
-# Mutations of the replicated record; the code must not follow their traces.
+# Mutations of the replicated record whose traces must disagree with the code.
 RECORD_MUTATIONS = (
     "settle matched by router only",
     "free on unknown",
     "abandon frees the key",
     "not_run frees an unknown key",
 )
-# Mutations of the log, the test double with the same fault if there is one,
-# and whether the trace starts with a leader.
+# Mutations of the log, each with the option of the test double that has the
+# same fault ("" if none) and whether the trace starts with a leader.
 LOG_MUTATIONS = (
     ("commit an older term by counting", "", False),
     ("two changes at a time", "", True),
@@ -61,7 +61,7 @@
         if found:
             faults.append(f"seed {seed}: {found}")
     faults += [
-        f"the code follows '{mutation}'"
+        f"the code agrees with the trace of mutation '{mutation}'"
         for mutation in RECORD_MUTATIONS
         if replay_once.find_mismatch(refuting_traces[mutation]) is None
     ]
@@ -69,12 +69,12 @@
         "state.ControlState",
         faults,
         f"{ONCE_WALKS} traces, {applied.total()} commands, {len(applied)} "
-        f"kinds; {len(RECORD_MUTATIONS)} mutations told apart",
+        f"kinds; {len(RECORD_MUTATIONS)} mutations detected",
     )
 
 
 def check_lease() -> bool:
-    """Replays the lease specification on the lease table and the lease."""
+    """Replays the lease specification on `LeaseTable` and `Lease`."""
     faults, steps = [], 0
     protocol = lease_spec.build(2, 3, 2, 2, "")
     detected = 0
@@ -85,12 +85,12 @@
             faults.append(f"seed {seed}: {found}")
         detected += bool(replay_lease.find_mismatch(trace, 2, EXCESSIVE_DRIFT))
     if not detected:
-        faults.append("a clock outside the bound makes no difference")
+        faults.append("a clock that exceeds the drift bound is not detected")
     return _report(
         "leases.LeaseTable and leases.Lease",
         faults,
         f"{LEASE_WALKS} traces, {steps} steps; a router clock "
-        f"{EXCESSIVE_DRIFT:.0%} slow is told apart in {detected}",
+        f"{EXCESSIVE_DRIFT:.0%} slow is detected in {detected}",
     )
 
 
@@ -103,7 +103,7 @@
 
 
 def check_log(refuting_traces: Mapping[str, list]) -> bool:
-    """Drives the replicas with traces of the log specification."""
+    """Replays traces of the log specification on replicas."""
     faults, counts = [], Counter()
     plain = log_spec.build(4, 3, 0, "")
     replacing = log_spec.build(4, 6, 2, "")
@@ -113,17 +113,17 @@
             try:
                 counts += replay_log.drive(trace, with_leader=with_leader)
             except replay_log.InvariantViolationError as exc:
-                faults.append(f"seed {seed}, led {with_leader}: {exc}")
+                faults.append(f"seed {seed}, with_leader {with_leader}: {exc}")
     for mutation, double, with_leader in LOG_MUTATIONS:
         trace = refuting_traces[mutation]
         if _violates(trace, with_leader=with_leader):
-            faults.append(f"the replicas follow '{mutation}'")
+            faults.append(f"the replicas violate an invariant on '{mutation}'")
         if double and not _violates(
             trace, with_leader=with_leader, **{double: True}
         ):
-            faults.append(f"the double of '{mutation}' is not caught")
+            faults.append(f"the test double of '{mutation}' is not detected")
     faults += [
-        f"no trace {event}"
+        f"no trace with the event '{event}'"
         for event in ("elected", "committed", "repaired")
         if not counts[event]
     ]
@@ -134,10 +134,10 @@
 
 
 def checks(refuting_traces: Mapping[str, list]) -> list[bool]:
-    """Runs every replay; returns the verdicts.
+    """Runs every replay and returns whether each passed.
 
     Args:
-        refuting_traces: A trace that refutes each mutation, by its name.
+        refuting_traces: A trace that refutes a mutation, by mutation name.
     """
     return [
         check_once(refuting_traces),
--- a/spec/replay_lease.py
+++ b/spec/replay_lease.py
@@ -1,6 +1,6 @@
 """Replays traces of `lease_spec` on `knapweedarch.leases`.
 
-Routers have the slowest allowed clock, on which 2.0 s last 2.1 s.
+Routers have the slowest clock allowed, on which 2.0 s last 2.1 s.
 """
 
 from knapweedarch.leases import (
@@ -13,15 +13,16 @@
 from spec import lease_spec
 
 TICK_S = GRANT_S / lease_spec.GRANT_TICKS
-# Comparisons are made just after a tick, where sums of floats decide nothing.
+# Code and specification are compared just after a tick, so that floating-point
+# rounding at the tick itself does not affect the result.
 COMPARISON_OFFSET_S = 1e-6
 
 
 class LeaseReplay:
-    """Real tables and leases driven by the steps of a trace.
+    """Lease tables and leases of the code, driven by the steps of a trace.
 
     Attributes:
-        fault: What the code refused although the specification allows it.
+        fault: A step that the specification allows and the code refused.
     """
 
     def __init__(self, routers: int, drift: float = MAX_CLOCK_DRIFT):
@@ -39,11 +40,11 @@
         return 1000.0 + now / (1 + self._drift)
 
     def step(self, label: str, state: lease_spec.State) -> None:
-        """Makes the step of the specification that led to `state`."""
+        """Applies the step of the specification that led to `state`."""
         match label.split():
             case ["commit"]:
-                # `in_force` notes the same, but would already answer if no
-                # router has a lease, where the specification may answer later.
+                # `in_force` records the same, but would answer at once if no
+                # router has a lease; the specification may answer later.
                 waiting = self._tables[-1]._waiting_since
                 waiting[state.committed] = self._now()
             case ["in", "force", n, version]:
@@ -55,7 +56,8 @@
             case ["elect", _]:
                 self._tables.append(LeaseTable(self._now()))
             case ["restart", r]:
-                # The specification drops the old grant; it only delays answers.
+                # The specification drops the old grant, since it could only
+                # delay answers.
                 for table in self._tables:
                     table._grants.pop(f"{r}/{self._incarnations[int(r)]}", None)
                 self._incarnations[int(r)] += 1
@@ -64,15 +66,15 @@
                 holder = f"{r}/{self._incarnations[int(r)]}"
                 self._tables[int(n)].grant(holder, int(applied), self._now())
             case ["take", r, "grant", left, _]:
-                # The end of the lease is the same if the whole duration is
-                # counted from when the renewal was sent.
+                # Counting the whole duration from when the renewal was sent
+                # gives the same end of the lease.
                 age = (lease_spec.GRANT_TICKS - int(left)) * TICK_S
                 sent_at = self._clock(self._now() - age)
                 now = self._clock(self._now())
                 self._leases[int(r)].granted(sent_at, LEASE_S, now)
 
     def find_mismatch(self, state: lease_spec.State) -> str | None:
-        """Tells where code and specification differ now."""
+        """Returns how code and specification differ in this state, or None."""
         if self.fault:
             return self.fault
         now = self._now() + COMPARISON_OFFSET_S
@@ -91,7 +93,10 @@
 def find_mismatch(
     trace: list, routers: int, drift: float = MAX_CLOCK_DRIFT
 ) -> str | None:
-    """Returns the first step at which code and specification differ."""
+    """Returns the first step at which code and specification differ.
+
+    Returns None if they agree on the whole trace.
+    """
     replay = LeaseReplay(routers, drift)
     for i, (label, after) in enumerate(trace):
         replay.step(label, after)
--- a/spec/replay_log.py
+++ b/spec/replay_log.py
@@ -1,9 +1,10 @@
-"""Drives the real replicas with traces of `log_spec`.
+"""Replays traces of `log_spec` on `knapweedarch.replica.Replica`.
 
-A step of the trace chooses who stands, who hears whom and who restarts; the
-replicas decide. The promises of the specification are checked on what the
-replicas sync, commit and claim. Messages travel only between the two ends
-that the step names; everything else is lost.
+A step of the trace chooses which replica starts an election, which ones
+exchange messages and which one restarts; the replicas decide the outcome. The
+invariants of the specification are checked on the synced state, the committed
+entries and the roles of the replicas. Messages are delivered only between the
+replicas that the step names; all others are lost.
 """
 
 from collections import Counter
@@ -29,20 +30,21 @@
 HEARTBEAT_S = 0.11
 REPAIR_ROUNDS = 60
 MAX_ROUNDS = 12
-# Identity 0 leads, and one entry is on 0 and 1 only, as in the specification.
+# Identity 0 leads, and only 0 and 1 hold the first data entry, as in the
+# initial state of the specification.
 SETUP_LABELS = ("vote 1 0", "propose 0", "append 0 1 1")
 
 
 @attrs.define
 class Disk:
-    """What one identity has synced."""
+    """Synced state of one identity."""
 
     identity: str
     hard_state: HardState = attrs.Factory(HardState)
     entries: list[Entry] = attrs.Factory(list)
 
     def save(self, output: Output, saves_votes: bool) -> None:
-        """Saves as a journal does; a test double saves no votes."""
+        """Saves the output as a journal does; a test double saves no votes."""
         if output.hard_state and saves_votes:
             self.hard_state = output.hard_state
         if output.truncate_from is not None:
@@ -51,19 +53,24 @@
 
 
 class InvariantViolationError(Exception):
-    """The replicas broke a promise of the specification."""
+    """The replicas violated an invariant of the specification."""
 
 
 class LogReplay:
-    """Three members with their disks; spec identity n is member n.
+    """Three members with their disks.
+
+    Identities 0, 1 and 2 of the specification start as members a, b and c; a
+    replacement identity runs on the member whose disk was lost.
 
     Args:
-        led: Whether identity 0 leads and has committed an entry at the start.
-        forget_votes: On in a test double whose disk forgets term and vote.
-        keep_identity: On in a test double whose blank disk keeps its identity.
+        with_leader: Whether identity 0 leads and has committed an entry at the
+            start.
+        forget_votes: Selects a test double whose disk loses term and vote.
+        keep_identity: Selects a test double that keeps its identity on a blank
+            disk.
 
     Attributes:
-        counts: How often replicas led, committed and completed a repair.
+        counts: Numbers of won elections, commits and completed repairs.
     """
 
     def __init__(
@@ -108,14 +115,15 @@
         self._replicas[name] = create_replica(cfg, restored, ord(name))
         self._inboxes[name] = []
         self._replicas[name].tick(self._clocks[name])
-        # It asks the others at once; no step of the trace lets them hear it.
+        # The first messages of the replica are lost, since no step of the trace
+        # delivers them.
         self._sync_and_send(name, "")
         for replica in self._replicas.values():
             for n, other in self._disks.items():
                 replica.note_peer(n, other.identity, "127.0.0.1", 1)
 
     def _sync_and_send(self, name: str, receivers: str) -> bool:
-        """Syncs, then sends to the receivers; tells whether any got some."""
+        """Syncs, then sends to the receivers; returns whether it sent any."""
         output = self._replicas[name].take_output()
         self._disks[name].save(output, self._saves_votes)
         delivered = [(to, m) for to, m in output.messages if to in receivers]
@@ -129,12 +137,12 @@
             known = self._committed.setdefault(entry.index, entry)
             if known != entry:
                 raise InvariantViolationError(
-                    f"entry {entry.index} was changed"
+                    f"committed entry {entry.index} was changed"
                 )
             self.counts["committed"] += 1
 
     def _check_leaders(self) -> None:
-        # An older leader may lack what a newer one has committed.
+        # A leader of an older term may lack entries committed in a newer one.
         newest = max(replica.term for replica in self._replicas.values())
         for name, replica in self._replicas.items():
             if replica.role is not Role.LEADER:
@@ -148,7 +156,7 @@
             ]
             if missing and term == newest:
                 raise InvariantViolationError(
-                    f"leader {name} lacks entry {missing}"
+                    f"leader {name} lacks committed entries {missing}"
                 )
 
     def _deliver_inbox(self, name: str) -> None:
@@ -157,7 +165,7 @@
             self._replicas[name].receive(sender, message, self._clocks[name])
 
     def _exchange(self, names: str, winner: str = "") -> None:
-        """Lets members talk until all are silent or `winner` leads."""
+        """Exchanges messages until none is left or `winner` leads."""
         for _ in range(MAX_ROUNDS):
             if winner and self._replicas[winner].role is Role.LEADER:
                 return
@@ -172,11 +180,11 @@
         self._replicas[name].tick(self._clocks[name])
 
     def _request_vote(self, voter: str, candidate: str) -> None:
-        """Lets a candidate ask a voter that hears no leader any more."""
+        """Requests a vote from a voter that no longer hears from a leader."""
         if self._replicas[candidate].role is Role.LEADER:
             return
         if self._replicas[voter].role is Role.LEADER:
-            # It has lost its majority and steps down.
+            # Having lost contact with a majority, the leader steps down.
             self._start_election(voter)
         self._clocks[voter] += VOTE_REFUSAL_S
         self._start_election(candidate)
@@ -201,7 +209,7 @@
         self._start_replica(name)
 
     def _repair(self, leader: str) -> None:
-        """Lets the leader talk to all until the member list is complete."""
+        """Exchanges messages until the voters are those of all disks."""
         for _ in range(REPAIR_ROUNDS):
             if self._replicas[leader].role is not Role.LEADER:
                 return
@@ -217,7 +225,7 @@
                 return
 
     def step(self, label: str) -> None:
-        """Makes the step of the specification and checks the promises."""
+        """Applies a step of the specification and checks the invariants."""
         self._make_step(label)
         self._check_leaders()
 
@@ -246,10 +254,10 @@
 
 
 def drive(trace: list, **options: bool) -> Counter:
-    """Drives replicas with a trace.
+    """Replays a trace on replicas and returns the event counts.
 
     Raises:
-        BrokenPromiseError: A promise does not hold.
+        InvariantViolationError: An invariant does not hold.
     """
     replay = LogReplay(**options)
     for i, label in enumerate(label for label, _ in trace):
--- a/spec/replay_once.py
+++ b/spec/replay_once.py
@@ -27,7 +27,7 @@
 
 
 def _command(label: str) -> object | None:
-    """Returns the command of a step, or None if it applies none."""
+    """Returns the command of a step, or None if the step applies none."""
     match label.split():
         case ["apply", "reserve", a, *_]:
             return Reserve(KEY, b"digest", _holder(int(a)), 0.0)
@@ -56,7 +56,8 @@
 def find_mismatch(trace: list, restore_at: int = -1) -> str | None:
     """Returns the first step at which code and specification differ.
 
-    At step `restore_at` the state goes through a snapshot.
+    At step `restore_at`, the state is restored from its own snapshot. Returns
+    None if they agree on the whole trace.
     """
     state = ControlState()
     for i, (label, after) in enumerate(trace):
