--- a/features/steps/deployment_steps.py
+++ b/features/steps/deployment_steps.py
@@ -449,13 +449,13 @@
 @when("the relay lets nothing through")
 def relay_cut(context):
     for relay in context.relays:
-        relay.cut(True)
+        relay.set_partitioned(True)
 
 
 @when("the relay lets everything through")
 def relay_heal(context):
     for relay in context.relays:
-        relay.cut(False)
+        relay.set_partitioned(False)
 
 
 @then("{count:d} requests to that router are refused as {reason}")
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -169,7 +169,7 @@
 def stop_router_after_checks(context, checks):
     router = context.harness.routers[0]
     router.refuse_after_checks = checks
-    router.later_refusal = RefusalReason.STOPPING
+    router.refusal_after_checks = RefusalReason.STOPPING
 
 
 @when("the lease of router {number:d} has expired")
@@ -183,18 +183,18 @@
     " reserved"
 )
 def lapse_lease_at_check(context, number):
-    context.harness.routers[number - 1].lapses_at_check = 1
+    context.harness.routers[number - 1].lapses_per_check = 1
 
 
 @given("commands arrive {times}")
 def set_command_deliveries(context, times):
     for router in context.harness.routers:
-        router.submits_twice = times == "twice"
+        router.applies_twice = times == "twice"
 
 
 @given('the next {count:d} "{command}" fail')
 def fail_commands(context, count, command):
-    context.harness.routers[0].failing[command] = count
+    context.harness.routers[0].pending_failures[command] = count
 
 
 @given('another router has reserved key "{key:w}"')
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -22,8 +22,8 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 CREDENTIAL = "loopback-credential-0001"
 ENDPOINT_CREDENTIAL = "loopback-endpoint-cred-1"
-START_S = 15.0
-STOP_S = 15.0
+START_TIMEOUT_S = 15.0
+STOP_TIMEOUT_S = 15.0
 
 
 @attrs.define
@@ -67,7 +67,7 @@
         environment = dict(os.environ, PYTHONPATH=str(ROOT))
         path = self.folder / f"{name}.log"
         with open(path, "ab") as log:
-            begin = log.tell()
+            log_offset = log.tell()
             popen = subprocess.Popen(
                 [sys.executable, *command],
                 cwd=ROOT,
@@ -75,16 +75,16 @@
                 stdout=log,
                 stderr=subprocess.STDOUT,
             )
-        port = self._await_port(popen, path, begin)
+        port = self._await_port(popen, path, log_offset)
         process = Process(name, popen, port, command)
         self.processes[name] = process
         return process
 
-    def _await_port(self, popen, path: pathlib.Path, begin: int) -> int:
+    def _await_port(self, popen, path: pathlib.Path, log_offset: int) -> int:
         """Waits for the line with the port, among the lines of the log."""
-        until = time.monotonic() + START_S
-        while time.monotonic() < until and popen.poll() is None:
-            lines = path.read_bytes()[begin:].decode().splitlines()
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline and popen.poll() is None:
+            lines = path.read_bytes()[log_offset:].decode().splitlines()
             for line in lines:
                 if line.startswith("ready "):
                     return int(line.split()[1])
@@ -93,7 +93,7 @@
         text = path.read_text()[-2000:]
         raise RuntimeError(f"{path.stem} did not start: {text}")
 
-    def _settings(self, name: str, content: dict) -> str:
+    def _write_settings(self, name: str, content: dict) -> str:
         path = self.folder / f"{name}.json5"
         common = {"name": name, "credential": CREDENTIAL}
         common["members"] = self.members
@@ -103,23 +103,23 @@
         path.write_text(json.dumps({**common, **content}, indent=2))
         return str(path)
 
-    def _daemon(self, name: str, content: dict) -> Process:
-        path = self._settings(name, content)
+    def _start_daemon(self, name: str, content: dict) -> Process:
+        path = self._write_settings(name, content)
         return self._start(
             name, ["-m", "knapweedarch.daemon", "--settings", path]
         )
 
     def start_member(self, name: str) -> Process:
         """Starts a member; its journal survives a restart."""
-        own = next(m for m in self.members if m["name"] == name)
+        address = next(m for m in self.members if m["name"] == name)
         folder = self.folder / f"data-{name}"
         folder.mkdir(exist_ok=True)
-        return self._daemon(
+        return self._start_daemon(
             name,
             {
                 "role": "member",
                 "data_centre": f"dc-{name[-1]}",
-                "listen": {"host": own["host"], "port": own["port"]},
+                "listen": {"host": address["host"], "port": address["port"]},
                 "data_folder": str(folder),
                 "snapshot_every": 200,
             },
@@ -127,7 +127,7 @@
 
     def start_router(self, name: str, port: int = 0, **extra) -> Process:
         """Starts a router; a restart may ask for the port it had."""
-        return self._daemon(
+        return self._start_daemon(
             name,
             {
                 "role": "router",
@@ -147,7 +147,7 @@
         host = self.host if is_daemon else "127.0.0.1"
         return f"http://{host}:{process.port}"
 
-    def _endpoint(self, module: str, name: str, arguments: list[str]):
+    def _start_endpoint(self, module: str, name: str, arguments: list[str]):
         routers = ",".join(
             self.url(p) for p in self.processes if p.startswith("router")
         )
@@ -165,14 +165,14 @@
         arguments = ["--model", model]
         for key, value in {"version": "w1", **options}.items():
             arguments += [f"--{key.replace('_', '-')}", str(value)]
-        return self._endpoint("runner", name, arguments)
+        return self._start_endpoint("runner", name, arguments)
 
     def start_desk(self, name: str, service: str, **options) -> Process:
         """Starts a stand-in plain service."""
         arguments = ["--service", service]
         for key, value in options.items():
             arguments += [f"--{key.replace('_', '-')}", str(value)]
-        return self._endpoint("desk", name, arguments)
+        return self._start_endpoint("desk", name, arguments)
 
     def tool_settings(self) -> str:
         """Writes settings for the command-line tool; returns their path."""
@@ -210,32 +210,32 @@
         process = self.processes[name]
         process.popen.send_signal(signal.SIGTERM)
         # Its address stays known, since it serves until it has drained.
-        code = process.popen.wait(STOP_S)
+        code = process.popen.wait(STOP_TIMEOUT_S)
         del self.processes[name]
         return code
 
-    def wait_for(self, what: str, probe, limit_s: float = START_S):
+    def wait_for(self, condition: str, probe, limit_s: float = START_TIMEOUT_S):
         """Polls `probe` until it returns something true; returns that.
 
         Raises:
             TimeoutError: Nothing true came within the limit.
         """
-        until = time.monotonic() + limit_s
-        while time.monotonic() < until:
+        deadline = time.monotonic() + limit_s
+        while time.monotonic() < deadline:
             try:
                 if found := probe():
                     return found
             except httpx.HTTPError:
                 pass
             time.sleep(0.02)
-        raise TimeoutError(f"{what} did not happen in {limit_s} s")
+        raise TimeoutError(f"{condition} did not happen in {limit_s} s")
 
     def metrics_page(self, name: str) -> str:
         """Fetches the metrics of a process."""
         url = f"http://{self.host}:{self.metrics_ports[name]}/metrics"
         return httpx.get(url).text
 
-    def wait_ready(self, router: str, limit_s: float = START_S) -> None:
+    def wait_ready(self, router: str, limit_s: float = START_TIMEOUT_S) -> None:
         """Waits until a router is ready."""
         self.wait_for(
             f"{router} ready",
--- a/standins/desk.py
+++ b/standins/desk.py
@@ -66,13 +66,15 @@
         if scope["type"] == "lifespan":
             return await serving.handle_lifespan(receive, send)
         headers = serving.header_map(scope)
-        if not serving.allowed(scope, headers, self.credential):
+        if not serving.is_authorized(scope, headers, self.credential):
             return await serving.answer(send, 401, {"error": "credential"})
         match scope["method"], scope["path"]:
             case "POST", "/deposits" | "/bookings" | "/orders":
-                await self._take(scope["path"], headers, receive, send)
+                await self._handle_write(scope["path"], headers, receive, send)
             case "GET", "/availability":
-                await self._serve(headers, send, {"free": 3}, "availability")
+                await self._handle_read(
+                    headers, send, {"free": 3}, "availability"
+                )
             case "GET", "/stats":
                 stats = {"runs": dict(self.runs), "counts": dict(self.counts)}
                 await serving.answer(send, 200, stats)
@@ -82,20 +84,22 @@
                 await serving.answer(send, 200, {})
             case _:
                 await serving.answer(
-                    send, 404, {"error": "path"}, _echo(headers)
+                    send, 404, {"error": "path"}, _echoed_headers(headers)
                 )
 
-    async def _take(self, path, headers, receive, send) -> None:
+    async def _handle_write(self, path, headers, receive, send) -> None:
         body = await serving.read_body(receive)
         key = headers.get("idempotency-key", headers.get("x-request-id", ""))
         fault = self.faults.take()
         if fault and fault.mode == "close":
-            return await serving.cut_off(send, _echo(headers))
-        self._run(key, path, body)
+            return await serving.send_incomplete_answer(
+                send, _echoed_headers(headers)
+            )
+        self._record_run(key, path, body)
         answer = {"number": sum(self.runs.values()), "path": path}
         await self._answer(headers, send, answer, fault)
 
-    def _run(self, key: str, path: str, body: bytes) -> None:
+    def _record_run(self, key: str, path: str, body: bytes) -> None:
         self.runs[key] += 1
         self.counts[path] += 1
         if self.journal:
@@ -103,18 +107,20 @@
             with open(self.journal, "a") as file:
                 file.write(line + "\n")
 
-    async def _serve(self, headers, send, answer, name: str) -> None:
+    async def _handle_read(self, headers, send, answer, name: str) -> None:
         fault = self.faults.take()
         if fault and fault.mode == "close":
-            return await serving.cut_off(send, _echo(headers))
+            return await serving.send_incomplete_answer(
+                send, _echoed_headers(headers)
+            )
         self.counts[name] += 1
         await self._answer(headers, send, answer, fault)
 
     async def _answer(self, headers, send, body, fault: Fault | None) -> None:
-        echo, code = _echo(headers), 200
+        echo, code = _echoed_headers(headers), 200
         match fault:
             case Fault(mode="crash"):
-                return await serving.cut_off(send, echo)
+                return await serving.send_incomplete_answer(send, echo)
             case Fault(mode="exit"):
                 os._exit(1)
             case Fault(mode="delay", at=delay_s):
@@ -128,7 +134,7 @@
         await serving.answer(send, code, body, echo)
 
 
-def _echo(headers: serving.Headers) -> serving.Headers:
+def _echoed_headers(headers: serving.Headers) -> serving.Headers:
     names = ("x-request-id", "x-attempt-id")
     return {name: headers[name] for name in names if name in headers}
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -68,7 +68,7 @@
     size: int
     running: int = 0
     _waiting: list[tuple[int, int, anyio.Event]] = attrs.field(factory=list)
-    _order: itertools.count = attrs.field(factory=itertools.count)
+    _sequence: itertools.count = attrs.field(factory=itertools.count)
 
     @property
     def queued(self) -> int:
@@ -80,7 +80,7 @@
         if self.running < self.size:
             self.running += 1
             return
-        entry = (priority, next(self._order), anyio.Event())
+        entry = (priority, next(self._sequence), anyio.Event())
         heapq.heappush(self._waiting, entry)
         try:
             await entry[2].wait()
--- a/standins/fake_router.py
+++ b/standins/fake_router.py
@@ -91,16 +91,16 @@
         self.timings: dict[str, list[float]] = {}
         self.refusal: RefusalReason | None = None
         self.refuse_after_checks = -1
-        self.later_refusal = RefusalReason.LEASE_EXPIRED
+        self.refusal_after_checks = RefusalReason.LEASE_EXPIRED
         self.retries_left = 3
-        self.lapses = 0
-        self.lapses_at_check = 0
-        self.failing: Counter[str] = Counter()
-        self.submits_twice = False
+        self.lease_lapses = 0
+        self.lapses_per_check = 0
+        self.pending_failures: Counter[str] = Counter()
+        self.applies_twice = False
         self.state = state
         self.rotate = False
-        self._numbers = itertools.count(1)
-        self._turns = itertools.count()
+        self._attempt_numbers = itertools.count(1)
+        self._rotation = itertools.count()
 
     def customer_for(self, api_key: str) -> CustomerRule | None:
         """Knows one customer."""
@@ -110,14 +110,14 @@
     def start_refusal(self) -> RefusalReason | None:
         """Refuses as told, at once or after some checks."""
         if self.refuse_after_checks == 0:
-            return self.later_refusal
+            return self.refusal_after_checks
         self.refuse_after_checks -= 1
         return self.refusal
 
     def lease_epoch(self) -> int:
         """Counts the lapses; one comes at the next check if told."""
-        self.lapses += self.lapses_at_check
-        return self.lapses
+        self.lease_lapses += self.lapses_per_check
+        return self.lease_lapses
 
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
         """Chooses the first runner that fits."""
@@ -135,11 +135,13 @@
 
     def _choose(self, ticket: Ticket, runners) -> Dispatch | Refuse:
         if self.rotate:
-            turn = next(self._turns) % max(1, len(runners))
+            turn = next(self._rotation) % max(1, len(runners))
             runners = [*runners[turn:], *runners[:turn]]
         for runner in runners:
             if ticket.weights_version in ("", runner.weights_version):
-                return Dispatch(Attempt(next(self._numbers), ticket, runner))
+                return Dispatch(
+                    Attempt(next(self._attempt_numbers), ticket, runner)
+                )
         return Refuse(RefusalReason.NO_CAPACITY)
 
     def service_endpoints(self, name: str) -> list[Endpoint]:
@@ -149,10 +151,10 @@
     async def submit(self, command: object, timeout_s: float) -> object:
         """Applies the command to the state that all routers share."""
         name = type(command).__name__
-        if self.failing[name]:
-            self.failing[name] -= 1
+        if self.pending_failures[name]:
+            self.pending_failures[name] -= 1
             raise ControlError("no_leader")
-        if self.submits_twice:
+        if self.applies_twice:
             # As the control client does when the first answer is lost.
             self.state.apply(COMMANDS.encode(command))
         return RESULTS.decode(self.state.apply(COMMANDS.encode(command)))
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -26,7 +26,7 @@
         self._silent: set[socket.socket] = set()
         self._open: set[socket.socket] = set()
         self._lock = threading.Lock()
-        self._is_cut = False
+        self._partitioned = False
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
@@ -48,20 +48,20 @@
             self._silent |= silenced
             return len(silenced) // 2
 
-    def cut(self, is_cut: bool) -> None:
+    def set_partitioned(self, partitioned: bool) -> None:
         """Starts or ends a silent partition."""
         with self._lock:
-            if is_cut:
+            if partitioned:
                 self._silent |= self._open
-            self._is_cut = is_cut
+            self._partitioned = partitioned
 
     def _run(self) -> None:
         while not self._stop.is_set():
             for key, _ in self._selector.select(POLL_S):
                 with self._lock:
-                    self._serve(key)
+                    self._forward(key)
 
-    def _serve(self, key: selectors.SelectorKey) -> None:
+    def _forward(self, key: selectors.SelectorKey) -> None:
         if key.fileobj is self._listener:
             self._accept()
             return
@@ -79,20 +79,24 @@
         self._close(source, other)
 
     def _accept(self) -> None:
-        near, _ = self._listener.accept()
-        self._open.add(near)
-        if self._is_cut:
-            self._silent.add(near)
+        client_socket, _ = self._listener.accept()
+        self._open.add(client_socket)
+        if self._partitioned:
+            self._silent.add(client_socket)
             return
         try:
-            far = socket.create_connection(self._target, timeout=1)
+            target_socket = socket.create_connection(self._target, timeout=1)
         except OSError:
-            self._open.discard(near)
-            near.close()
+            self._open.discard(client_socket)
+            client_socket.close()
             return
-        self._open.add(far)
-        self._selector.register(near, selectors.EVENT_READ, far)
-        self._selector.register(far, selectors.EVENT_READ, near)
+        self._open.add(target_socket)
+        self._selector.register(
+            client_socket, selectors.EVENT_READ, target_socket
+        )
+        self._selector.register(
+            target_socket, selectors.EVENT_READ, client_socket
+        )
 
     def _close(self, *pair: socket.socket) -> None:
         for sock in pair:
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -20,10 +20,10 @@
 from standins.engine import BLOCK_TOKENS, BlockCache, Feed, Slots
 from standins.faults import Fault, Faults, parse_fault
 
-FEED_PERIOD_S = 0.2
+LOAD_REPORT_PERIOD_S = 0.2
 LOAD_WEIGHTS_S = 0.5
 DEFAULT_TOKENS = 32
-MAX_STATS = 10_000
+MAX_STATS_REQUESTS = 10_000
 
 
 @attrs.frozen
@@ -84,7 +84,7 @@
         self._jobs: dict[str, Job] = {}
         self._queued: Counter[int] = Counter()
         self._fencing_number = 0
-        self._highest: dict[str, int] = {}
+        self._highest_attempts: dict[str, int] = {}
         self._stopping = anyio.Event()
 
     def describe(self) -> dict[str, object]:
@@ -116,7 +116,7 @@
         if scope["type"] == "lifespan":
             return await serving.handle_lifespan(receive, send)
         headers = serving.header_map(scope)
-        if not serving.allowed(scope, headers, self.cfg.credential):
+        if not serving.is_authorized(scope, headers, self.cfg.credential):
             return await serving.answer(send, 401, {"error": "credential"})
         match scope["method"], scope["path"]:
             case "POST", "/v1/chat/completions":
@@ -124,7 +124,7 @@
             case "POST", "/cancel":
                 await self._cancel(receive, send)
             case "GET", "/feed":
-                await self._follow(headers, receive, send)
+                await self._serve_feed(headers, receive, send)
             case "POST", "/orders":
                 await self._order(headers, receive, send)
             case "POST", "/kv/export" | "/kv/import":
@@ -158,7 +158,7 @@
             "urgent_tokens": sum(
                 self._queued[p] for p in Priority if p <= Priority.GUEST
             ),
-            "acknowledged": self._highest.get(router, 0),
+            "acknowledged": self._highest_attempts.get(router, 0),
         }
 
     async def _chat(self, headers, receive, send) -> None:
@@ -173,7 +173,10 @@
             code, reason = refusal
             self.counts[f"refused_{code}"] += 1
             return await serving.answer(
-                send, code, {"error": {"reason": reason}}, _echo(headers)
+                send,
+                code,
+                {"error": {"reason": reason}},
+                _echoed_headers(headers),
             )
         job = Job(
             headers.get("x-request-id", ""),
@@ -183,7 +186,7 @@
             body,
             fault,
         )
-        self._note(job)
+        self._record_attempt(job)
         async with anyio.create_task_group() as group:
             group.start_soon(self._watch_caller, job, receive)
             with job.scope:
@@ -202,15 +205,15 @@
             return 404, "unknown_model"
         return None
 
-    def _note(self, job: Job) -> None:
+    def _record_attempt(self, job: Job) -> None:
         self.counts["requests"] += 1
         self.attempts.setdefault(job.request_id, []).append(job.attempt_id)
-        if len(self.attempts) > MAX_STATS:
+        if len(self.attempts) > MAX_STATS_REQUESTS:
             self.attempts.popitem(last=False)
         router, _, number = job.attempt_id.rpartition("/")
         if number.isdecimal():
-            known = self._highest.get(router, 0)
-            self._highest[router] = max(known, int(number))
+            known = self._highest_attempts.get(router, 0)
+            self._highest_attempts[router] = max(known, int(number))
 
     async def _watch_caller(self, job: Job, receive) -> None:
         while (await receive())["type"] != "http.disconnect":
@@ -326,7 +329,7 @@
         self.counts["cancel_orders"] += 1
         await serving.answer(send, 200, {"cancelled": found})
 
-    async def _follow(self, headers, receive, send) -> None:
+    async def _serve_feed(self, headers, receive, send) -> None:
         router = headers.get("x-router", "")
         queue = self._feed.follow()
         snapshot = {
@@ -337,10 +340,12 @@
         await send(_stream_start(headers))
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(_cancel_on_leave, group.cancel_scope, receive)
+                group.start_soon(
+                    _cancel_on_disconnect, group.cancel_scope, receive
+                )
                 group.start_soon(self._cancel_on_stop, group.cancel_scope)
-                await self._send_feed(send, snapshot)
-                await self._feed_events(queue, router, send)
+                await self._send_feed_event(send, snapshot)
+                await self._send_feed_events(queue, router, send)
         finally:
             self._feed.unfollow(queue)
 
@@ -348,23 +353,23 @@
         await self._stopping.wait()
         scope.cancel()
 
-    async def _feed_events(self, queue, router: str, send) -> None:
+    async def _send_feed_events(self, queue, router: str, send) -> None:
         next_load = 0.0
         while True:
             while queue:
                 event = queue.popleft()
                 if self._random.random() >= self.cfg.feed_loss:
-                    await self._send_feed(send, event)
+                    await self._send_feed_event(send, event)
             now = anyio.current_time()
             if now >= next_load:
-                next_load = now + FEED_PERIOD_S
-                await self._send_feed(
+                next_load = now + LOAD_REPORT_PERIOD_S
+                await self._send_feed_event(
                     send, {"type": "load", **self.load(router)}
                 )
             if not queue:
                 await self._feed.wait(next_load - now)
 
-    async def _send_feed(self, send, event: dict) -> None:
+    async def _send_feed_event(self, send, event: dict) -> None:
         await _send_part(
             send, _event({**event, "incarnation": self.incarnation})
         )
@@ -403,13 +408,13 @@
         await serving.answer(send, 200, {"blocks": blocks})
 
 
-def _echo(headers: serving.Headers) -> serving.Headers:
+def _echoed_headers(headers: serving.Headers) -> serving.Headers:
     names = ("x-request-id", "x-attempt-id")
     return {name: headers[name] for name in names if name in headers}
 
 
 def _stream_start(headers: serving.Headers) -> dict:
-    fields = {"content-type": "text/event-stream", **_echo(headers)}
+    fields = {"content-type": "text/event-stream", **_echoed_headers(headers)}
     return {
         "type": "http.response.start",
         "status": 200,
@@ -425,7 +430,7 @@
     await send({"type": "http.response.body", "body": data, "more_body": True})
 
 
-async def _cancel_on_leave(scope: anyio.CancelScope, receive) -> None:
+async def _cancel_on_disconnect(scope: anyio.CancelScope, receive) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
     scope.cancel()
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -13,12 +13,12 @@
 from hypercorn.asyncio import serve
 from hypercorn.config import Config
 
-ANNOUNCE_S = 1.0
+ANNOUNCE_INTERVAL_S = 1.0
 ANNOUNCE_TIMEOUT_S = 1.0
-GRACEFUL_S = 30.0
-KEEP_ALIVE_S = 30.0
+GRACEFUL_TIMEOUT_S = 30.0
+KEEP_ALIVE_TIMEOUT_S = 30.0
 # Used by tests and the demo only; routers never call these.
-OPEN_PATHS = frozenset({"/stats", "/fail"})
+UNAUTHENTICATED_PATHS = frozenset({"/stats", "/fail"})
 
 Message = MutableMapping[str, object]
 Receive = Callable[[], Awaitable[Message]]
@@ -45,7 +45,7 @@
     app: object,
     listener: socket.socket,
     stop: anyio.Event,
-    graceful_s: float = GRACEFUL_S,
+    graceful_s: float = GRACEFUL_TIMEOUT_S,
 ) -> None:
     """Serves an ASGI application until `stop` is set and its work is done.
 
@@ -59,7 +59,7 @@
     # hypercorn takes over and closes the descriptor it is given.
     cfg.bind = [f"fd://{listener.detach()}"]
     cfg.graceful_timeout = graceful_s
-    cfg.keep_alive_timeout = KEEP_ALIVE_S
+    cfg.keep_alive_timeout = KEEP_ALIVE_TIMEOUT_S
     cfg.keep_alive_max_requests = 1_000_000
     cfg.backlog = 1024
     cfg.errorlog = logging.getLogger("standins")
@@ -98,7 +98,7 @@
     await send({"type": "http.response.body", "body": data})
 
 
-async def cut_off(send: Send, headers: Headers) -> None:
+async def send_incomplete_answer(send: Send, headers: Headers) -> None:
     """Sends the head of an answer; the server then closes the connection.
 
     hypercorn answers 500 by itself to a request without any answer.
@@ -118,9 +118,9 @@
     return {k.decode("latin1"): v.decode("latin1") for k, v in scope["headers"]}
 
 
-def allowed(scope: Message, headers: Headers, credential: str) -> bool:
+def is_authorized(scope: Message, headers: Headers, credential: str) -> bool:
     """Tells whether a request holds the credential or needs none."""
-    if scope["path"] in OPEN_PATHS:
+    if scope["path"] in UNAUTHENTICATED_PATHS:
         return True
     return headers.get("authorization") == f"Bearer {credential}"
 
@@ -147,7 +147,7 @@
     routers: list[str]
     credential: str
     describe: Callable[[], dict[str, object]]
-    _turn: int = 0
+    _next_router: int = 0
 
     async def announce(self) -> bool:
         """Announces once; tries each router until one accepts."""
@@ -155,8 +155,8 @@
             timeout=ANNOUNCE_TIMEOUT_S, trust_env=False
         ) as client:
             for _ in self.routers:
-                url = self.routers[self._turn % len(self.routers)]
-                self._turn += 1
+                url = self.routers[self._next_router % len(self.routers)]
+                self._next_router += 1
                 try:
                     reply = await client.post(
                         f"{url}/v1/endpoints",
@@ -173,7 +173,7 @@
         """Announces each `ANNOUNCE_S` until cancelled."""
         while self.routers:
             await self.announce()
-            await anyio.sleep(ANNOUNCE_S)
+            await anyio.sleep(ANNOUNCE_INTERVAL_S)
 
 
 async def run_endpoint(
