--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds the system, for tests, demo and bench."""
+"""Stand-ins for external systems, for tests, the demo and benchmarks."""
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -1,8 +1,8 @@
 """Starts a small deployment of separate processes on loopback.
 
-Used by the demo and by the scenarios that need real processes. Each
-deployment has a loopback address of its own, so that no outgoing connection
-of another process can take one of its ports.
+Used by the demo, the benchmarks and the scenarios that need real processes.
+Each deployment has its own loopback address, so that no outgoing connection of
+another process can occupy one of its ports.
 """
 
 import json
@@ -28,7 +28,7 @@
 
 @attrs.define
 class Process:
-    """A started process."""
+    """A running process of a deployment."""
 
     name: str
     popen: subprocess.Popen
@@ -37,7 +37,7 @@
 
 
 class Deployment:
-    """Processes of one deployment; use it as a context manager."""
+    """Processes of one deployment; a context manager that kills them."""
 
     def __init__(self, members: int = 3):
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="knapweedarch-"))
@@ -81,7 +81,7 @@
         return process
 
     def _await_port(self, popen, path: pathlib.Path, log_offset: int) -> int:
-        """Waits for the line with the port, among the lines of the log."""
+        """Returns the port from the `ready` line that the process logs."""
         deadline = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline and popen.poll() is None:
             lines = path.read_bytes()[log_offset:].decode().splitlines()
@@ -91,7 +91,7 @@
             time.sleep(0.02)
         popen.kill()
         text = path.read_text()[-2000:]
-        raise RuntimeError(f"{path.stem} did not start: {text}")
+        raise RuntimeError(f"process {path.stem} did not start: {text}")
 
     def _write_settings(self, name: str, content: dict) -> str:
         path = self.folder / f"{name}.json5"
@@ -110,7 +110,7 @@
         )
 
     def start_member(self, name: str) -> Process:
-        """Starts a member; its journal survives a restart."""
+        """Starts a member; a restarted one keeps its journal."""
         address = next(m for m in self.members if m["name"] == name)
         folder = self.folder / f"data-{name}"
         folder.mkdir(exist_ok=True)
@@ -126,7 +126,7 @@
         )
 
     def start_router(self, name: str, port: int = 0, **extra) -> Process:
-        """Starts a router; a restart may ask for the port it had."""
+        """Starts a router; a restarted one may be given its previous port."""
         return self._start_daemon(
             name,
             {
@@ -175,7 +175,7 @@
         return self._start_endpoint("desk", name, arguments)
 
     def tool_settings(self) -> str:
-        """Writes settings for the command-line tool; returns their path."""
+        """Writes the settings of the command-line tool and returns the path."""
         path = self.folder / "tool.json5"
         content = {"members": self.members, "credential": CREDENTIAL}
         path.write_text(json.dumps(content))
@@ -200,25 +200,27 @@
         os.kill(self.processes[name].popen.pid, number)
 
     def kill(self, name: str) -> None:
-        """Ends a process at once."""
+        """Kills a process."""
         process = self.processes.pop(name)
         process.popen.kill()
         process.popen.wait()
 
     def stop(self, name: str) -> int:
-        """Stops a process in the planned way; returns its exit code."""
+        """Stops a process gracefully and returns its exit code."""
         process = self.processes[name]
         process.popen.send_signal(signal.SIGTERM)
-        # Its address stays known, since it serves until it has drained.
+        # `processes` keeps it until then, since it serves until it has drained.
         code = process.popen.wait(STOP_TIMEOUT_S)
         del self.processes[name]
         return code
 
     def wait_for(self, condition: str, probe, limit_s: float = START_TIMEOUT_S):
-        """Polls `probe` until it returns something true; returns that.
+        """Polls `probe` until it returns a true value, and returns that value.
+
+        HTTP errors of the probe count as false.
 
         Raises:
-            TimeoutError: Nothing true came within the limit.
+            TimeoutError: `probe` returned no true value within the limit.
         """
         deadline = time.monotonic() + limit_s
         while time.monotonic() < deadline:
@@ -228,10 +230,12 @@
             except httpx.HTTPError:
                 pass
             time.sleep(0.02)
-        raise TimeoutError(f"{condition} did not happen in {limit_s} s")
+        raise TimeoutError(
+            f"timed out after {limit_s} s waiting for: {condition}"
+        )
 
     def metrics_page(self, name: str) -> str:
-        """Fetches the metrics of a process."""
+        """Fetches the metrics page of a process."""
         url = f"http://{self.host}:{self.metrics_ports[name]}/metrics"
         return httpx.get(url).text
 
--- a/standins/desk.py
+++ b/standins/desk.py
@@ -1,10 +1,13 @@
-"""Stand-in plain service: bookings and orders that count their runs.
-
-Fault modes: `crash` closes the connection after the run, before the body of
-the answer; `exit` ends the process after the run and before the answer;
-`close` closes the connection before the run; `delay` answers after `at`
-seconds, `crossed` names another request, `big` answers with `at` bytes,
-`error` answers 500 after the run.
+"""Stand-in plain service that counts the runs of each request.
+
+Fault modes:
+- `crash` closes the connection after the run, before the body of the answer.
+- `exit` ends the process after the run, before the answer.
+- `close` closes the connection before the run.
+- `delay` answers after `at` seconds.
+- `crossed` answers with the id of another request.
+- `big` pads the answer with `at` bytes.
+- `error` answers 500 after the run.
 """
 
 import json
@@ -29,8 +32,13 @@
         service: Name of the service.
         credential: The shared endpoint credential.
         data_centre: Data centre of the endpoint.
-        journal: File that gets one line per run; empty for none.
-        runs: Runs by idempotency key or request.
+        journal: File to which each run appends a line; empty for none.
+        url: Base URL that it announces.
+        status: Status that it announces.
+        incarnation: Random identifier of this process.
+        faults: Faults still to be injected.
+        runs: Runs by idempotency key or, without one, by request id.
+        counts: Runs by path; reads are counted by name.
     """
 
     id: str = "desk-1"
@@ -58,7 +66,7 @@
         }
 
     def leave(self) -> None:
-        """Announces `leaving` from now on."""
+        """Sets the status of further announcements to `leaving`."""
         self.status = "leaving"
 
     async def __call__(self, scope, receive, send) -> None:
@@ -158,9 +166,9 @@
     :param routers: Base URLs of routers, separated by commas.
     :param credential: The shared endpoint credential.
     :param data_centre: Data centre of the endpoint.
-    :param journal: File that gets one line per run.
-    :param fail: Fault of the first requests, `mode[:at[:times]]`.
-    :param host: IP number to listen on.
+    :param journal: File to which each run appends a line.
+    :param fail: Fault injected into the first requests, `mode[:at[:times]]`.
+    :param host: IP address to listen on.
     :param port: Port to listen on; 0 lets the kernel choose.
     """
     desk = Desk(id, service, credential, data_centre, journal)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -16,14 +16,19 @@
 
 @attrs.define
 class BlockCache:
-    """Least recently used blocks, kept apart by salt and weights version."""
+    """LRU cache of prefix blocks, separated by salt and weights version.
+
+    Attributes:
+        capacity: Most blocks that it holds.
+        on_event: Called with the kind and the blocks of each cache event.
+    """
 
     capacity: int
     on_event: Callable[[str, tuple[int, ...]], None]
     _blocks: OrderedDict[BlockKey, None] = attrs.field(factory=OrderedDict)
 
     def depth(self, salt: str, version: str, blocks: Iterable[int]) -> int:
-        """Counts the leading blocks that are cached, and marks them used."""
+        """Counts the cached leading blocks and marks them as recently used."""
         count = 0
         for block in blocks:
             key = (salt, version, block)
@@ -52,18 +57,23 @@
             self.on_event("evicted", tuple(evicted))
 
     def clear(self) -> None:
-        """Drops every block."""
+        """Removes all blocks."""
         self._blocks.clear()
         self.on_event("cleared", ())
 
     def hashes(self) -> list[int]:
-        """Lists the hashes of all blocks."""
+        """Returns the hashes of all blocks."""
         return [key[2] for key in self._blocks]
 
 
 @attrs.define
 class Slots:
-    """Places in the batch; waiting requests get them by priority."""
+    """Slots of the batch, given to waiting requests by priority.
+
+    Attributes:
+        size: Number of slots.
+        running: Number of slots in use.
+    """
 
     size: int
     running: int = 0
@@ -76,7 +86,7 @@
         return len(self._waiting)
 
     async def acquire(self, priority: int) -> None:
-        """Waits for a place; a lower priority value comes first."""
+        """Waits for a slot; requests with a lower priority value go first."""
         if self.running < self.size:
             self.running += 1
             return
@@ -93,7 +103,7 @@
             raise
 
     def release(self) -> None:
-        """Gives a place back, to the first waiting request if any."""
+        """Passes the slot to the first waiting request, or frees it."""
         if self._waiting:
             heapq.heappop(self._waiting)[2].set()
         else:
@@ -102,10 +112,13 @@
 
 @attrs.define
 class Feed:
-    """Numbered cache events and the connections that follow them.
+    """Feed of numbered cache events with a queue for each follower.
 
-    The first number is 1, so that a snapshot can be told as a `cleared` event
+    The first number is 1, so that a snapshot can be sent as a `cleared` event
     with the number before the last one and a `stored` event with the last.
+
+    Attributes:
+        number: Number of the last event.
     """
 
     number: int = 1
@@ -113,16 +126,16 @@
     _changed: anyio.Event = attrs.field(factory=anyio.Event)
 
     def publish(self, kind: str, blocks: tuple[int, ...]) -> None:
-        """Numbers an event and queues it for each follower."""
+        """Numbers an event and adds it to the queue of each follower."""
         self.number += 1
         event = {"type": kind, "number": self.number, "blocks": list(blocks)}
         for queue in self._followers:
-            # A full queue loses its oldest event, as engines do.
+            # A full queue drops its oldest event, as engines do.
             queue.append(event)
         self._changed.set()
 
     def follow(self) -> deque:
-        """Adds a follower; its queue receives the events from now on."""
+        """Adds a follower and returns its queue of further events."""
         queue: deque = deque(maxlen=MAX_FEED_EVENTS)
         self._followers.append(queue)
         return queue
--- a/standins/fake_router.py
+++ b/standins/fake_router.py
@@ -1,4 +1,4 @@
-"""Fake router for scenarios and benches of the gateway."""
+"""Fake router for scenarios and benchmarks of the gateway."""
 
 import hashlib
 import itertools
@@ -30,7 +30,7 @@
 
 
 class FakeScheduler:
-    """Records what the gateway reports."""
+    """Records the reports of the gateway."""
 
     def __init__(self):
         self.results: list[tuple[Attempt, AttemptResult]] = []
@@ -38,37 +38,40 @@
         self.loads: list[object] = []
 
     def version_for(self, model: str) -> str:
-        """Returns the only version."""
+        """Returns the same version for every model."""
         return "w1"
 
     def report_load(self, report, now: float) -> None:
-        """Keeps the report."""
+        """Records the report."""
         self.loads.append(report)
 
     def first_token(self, attempt: Attempt, now: float) -> None:
-        """Keeps the attempt."""
+        """Records the attempt."""
         self.first_tokens.append(attempt)
 
     def finished(
         self, attempt: Attempt, result: AttemptResult, now: float
     ) -> None:
-        """Keeps the result."""
+        """Records the result."""
         self.results.append((attempt, result))
 
 
 class FakeRouter:
-    """Implements `gateway.RouterPort` over the real state machine.
+    """Implements `gateway.RouterPort` with the real state machine.
 
     Attributes:
-        refusal: What `start_refusal` returns.
-        refuse_after_checks: Checks that pass before `start_refusal` refuses;
-            negative means that all pass.
-        later_refusal: What it returns after these checks.
-        lapses: Lapses of the lease so far.
-        lapses_at_check: Lapses that each question about them adds.
+        refusal: Reason that `start_refusal` returns, or None.
+        refuse_after_checks: Calls of `start_refusal` that return `refusal`
+            before all later ones return `refusal_after_checks`; a negative
+            number means that all return `refusal`.
+        refusal_after_checks: Reason that `start_refusal` returns after these
+            calls.
+        lease_lapses: Number of lapses of the lease so far.
+        lapses_per_check: Lapses that each call of `lease_epoch` adds.
         retries_left: Further attempts that `place_retry` allows.
-        failing: Commands that fail, by class name, and how often.
-        submits_twice: Whether each command is applied twice.
+        pending_failures: Number of further failures by command class name.
+        applies_twice: Whether each command is applied twice.
+        rotate: Whether placements take the runners in turn.
     """
 
     def __init__(self, incarnation: str, state: ControlState):
@@ -103,30 +106,30 @@
         self._rotation = itertools.count()
 
     def customer_for(self, api_key: str) -> CustomerRule | None:
-        """Knows one customer."""
+        """Returns the only customer if the API key is that customer's."""
         same = digest(api_key) == self.customer.key_digest
         return self.customer if same else None
 
     def start_refusal(self) -> RefusalReason | None:
-        """Refuses as told, at once or after some checks."""
+        """Returns the configured reason, at once or after some calls."""
         if self.refuse_after_checks == 0:
             return self.refusal_after_checks
         self.refuse_after_checks -= 1
         return self.refusal
 
     def lease_epoch(self) -> int:
-        """Counts the lapses; one comes at the next check if told."""
+        """Returns the number of lapses after adding `lapses_per_check`."""
         self.lease_lapses += self.lapses_per_check
         return self.lease_lapses
 
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
-        """Chooses the first runner that fits."""
+        """Chooses the first runner with the weights version of the ticket."""
         return self._choose(ticket, self.runners)
 
     async def place_retry(
         self, ticket: Ticket, failed: Attempt
     ) -> Dispatch | Refuse:
-        """Chooses another runner while retries are left."""
+        """Chooses another runner than the failed one while retries are left."""
         if self.retries_left == 0:
             return Refuse(RefusalReason.RETRIES_EXHAUSTED)
         self.retries_left -= 1
@@ -145,42 +148,42 @@
         return Refuse(RefusalReason.NO_CAPACITY)
 
     def service_endpoints(self, name: str) -> list[Endpoint]:
-        """Returns all desks in their order."""
+        """Returns all endpoints of plain services, for any service name."""
         return self.desks
 
     async def submit(self, command: object, timeout_s: float) -> object:
-        """Applies the command to the state that all routers share."""
+        """Applies the command to the state shared by all routers."""
         name = type(command).__name__
         if self.pending_failures[name]:
             self.pending_failures[name] -= 1
             raise ControlError("no_leader")
         if self.applies_twice:
-            # As the control client does when the first answer is lost.
+            # The control client does so when the first answer is lost.
             self.state.apply(COMMANDS.encode(command))
         return RESULTS.decode(self.state.apply(COMMANDS.encode(command)))
 
     async def announce(self, endpoint: Endpoint) -> None:
-        """Keeps the announcement."""
+        """Records the announcement."""
         self.announced.append(endpoint)
 
     def ready(self) -> bool:
-        """Ready unless it refuses."""
+        """Returns whether no refusal is configured."""
         return self.refusal is None
 
     def count(self, name: str, number: int = 1) -> None:
-        """Counts."""
+        """Adds to the counter of this name."""
         self.counts[name] += number
 
     def timing(self, name: str, seconds: float) -> None:
-        """Keeps durations in seconds by name."""
+        """Records a duration in seconds."""
         self.timings.setdefault(name, []).append(seconds)
 
     def log(self, event: str, **fields: object) -> None:
-        """Drops the event."""
+        """Discards the event."""
 
 
 def digest(api_key: str) -> str:
-    """Digests an API key as the rules do."""
+    """Returns the digest of an API key as stored in the rules."""
     return hashlib.sha256(api_key.encode()).hexdigest()
 
 
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,16 +1,16 @@
-"""Faults that the stand-in endpoints show on demand."""
+"""Faults to inject into the stand-in endpoints."""
 
 import attrs
 
 
 @attrs.define
 class Fault:
-    """A fault shown by the next requests.
+    """A fault injected into the next requests.
 
     Attributes:
         mode: Kind of the fault; see `runner` and `desk`.
-        at: Token offset for streams; delay in seconds for `delay`.
-        times: Number of requests that show it; negative means all.
+        at: Token offset for streams, seconds for `delay`, bytes for `big`.
+        times: Number of requests that it affects; negative means all.
     """
 
     mode: str
@@ -29,17 +29,17 @@
 
 @attrs.define
 class Faults:
-    """The faults still to be shown, in order."""
+    """Faults still to be injected, in order."""
 
     pending: list[Fault] = attrs.field(factory=list)
 
     def add(self, fault: Fault | None) -> None:
-        """Adds a fault."""
+        """Appends a fault, if one is given."""
         if fault is not None:
             self.pending.append(fault)
 
     def take(self) -> Fault | None:
-        """Returns the fault that the current request shows, if any."""
+        """Returns the fault for the current request, if any."""
         if not self.pending:
             return None
         fault = self.pending[0]
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,9 +1,10 @@
-"""TCP relay that can make open connections go silent, for tests.
+"""TCP relay that can stop forwarding without closing connections, for tests.
 
 It runs on a thread of the test process. `silence` stops forwarding on the
-connections open now and keeps them open at both ends, while new connections
-work: this is how a middle box that lost its table looks from outside.
-`cut` lets nothing through, old or new, without closing anything.
+connections that are open and keeps both ends open, while new connections work.
+This is the effect of a middlebox that lost its connection table.
+`set_partitioned` stops forwarding on old and new connections, also without
+closing any.
 """
 
 import selectors
@@ -15,7 +16,7 @@
 
 
 class Relay:
-    """Forwards one port to another; use it as a context manager."""
+    """Forwards one TCP port to another; a context manager."""
 
     def __init__(self, host: str, target: tuple[str, int]):
         self._target = target
@@ -42,7 +43,7 @@
         self._selector.close()
 
     def silence(self) -> int:
-        """Makes the open connections silent for good; returns how many."""
+        """Stops forwarding on open connections for good; returns how many."""
         with self._lock:
             silenced = self._open - self._silent
             self._silent |= silenced
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -1,9 +1,16 @@
 """Stand-in model runner; see docs/ENDPOINTS.md for its interface.
 
-Fault modes of a stream, each at the token offset `at`: `break` closes the
-connection, `silent` sends nothing more, `gap` skips a token, `repeat` sends a
-token again, `no_done` ends without the end mark, `crossed` names another
-attempt, `error` answers 500 before running, `refuse` answers 409.
+Fault modes of a stream at the token offset `at`:
+- `break` closes the connection.
+- `silent` sends nothing more.
+- `gap` skips a token.
+- `repeat` sends a token twice.
+- `crossed` sends a token with the id of another attempt.
+
+Fault modes of the whole request:
+- `no_done` ends the stream without the end mark.
+- `error` answers 500 before running.
+- `refuse` answers 409 before running.
 """
 
 import json
@@ -46,7 +53,7 @@
 
 @attrs.define
 class Job:
-    """One attempt being run."""
+    """A running attempt."""
 
     request_id: str
     attempt_id: str
@@ -59,7 +66,7 @@
 
     @property
     def max_tokens(self) -> int:
-        """Tokens of the whole answer."""
+        """Number of tokens of the whole answer."""
         return int(self.body.get("max_tokens") or DEFAULT_TOKENS)
 
 
@@ -104,11 +111,11 @@
         }
 
     def leave(self) -> None:
-        """Announces `leaving` from now on and ends the feeds."""
+        """Sets the status of further announcements to `leaving`."""
         self.status = "leaving"
 
     def stop(self) -> None:
-        """Ends the feeds, which otherwise never end."""
+        """Ends the feed streams, which otherwise never end."""
         self._stopping.set()
 
     async def __call__(self, scope, receive, send) -> None:
@@ -139,7 +146,7 @@
                 await serving.answer(send, 404, {"error": "path"})
 
     def stats(self) -> dict[str, object]:
-        """Counts of requests run, by request and attempt."""
+        """Returns the incarnation, load, attempts by request and counts."""
         return {
             "incarnation": self.incarnation,
             "runs": self.counts["requests"],
@@ -150,7 +157,7 @@
         }
 
     def load(self, router: str) -> dict[str, int]:
-        """Returns the load as reported to a router."""
+        """Returns the load and the highest attempt number seen of a router."""
         return {
             "running": self._slots.running,
             "queued": self._slots.queued,
@@ -262,7 +269,8 @@
         at = start + int(job.fault.at) if job.fault else -1
         mode = job.fault.mode if job.fault else ""
         for offset in range(start, end):
-            # Also without a pace the loop must see cancels between tokens.
+            # Sleeps also for 0 ms, so that a cancellation takes effect between
+            # tokens.
             await anyio.sleep(self.cfg.token_ms / 1000)
             if offset == at and mode == "break":
                 return
@@ -463,15 +471,15 @@
     :param data_centre: Data centre of the endpoint.
     :param routers: Base URLs of routers, separated by commas.
     :param credential: The shared endpoint credential.
-    :param seed: Seed of lost feed events.
+    :param seed: Seed of the random choice of lost feed events.
     :param token_ms: Time per generated token in milliseconds.
     :param prefill_ms: Time per uncached prompt block in milliseconds.
-    :param slots: Requests in the batch at once.
+    :param slots: Number of requests in the batch at once.
     :param cache_blocks: Capacity of the prefix cache in blocks.
-    :param checks_fencing: Refuse orders with old fencing numbers.
-    :param feed_loss: Part of the cache events that is lost, 0 to 1.
-    :param fail: Fault of the first requests, `mode[:at[:times]]`.
-    :param host: IP number to listen on.
+    :param checks_fencing: Refuse orders with outdated fencing numbers.
+    :param feed_loss: Fraction of the cache events that is lost, 0 to 1.
+    :param fail: Fault injected into the first requests, `mode[:at[:times]]`.
+    :param host: IP address to listen on.
     :param port: Port to listen on; 0 lets the kernel choose.
     """
     runner = Runner(
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-in endpoints share: serving, bodies, announcements."""
+"""HTTP serving and announcements shared by the stand-in endpoints."""
 
 import json
 import logging
@@ -17,7 +17,7 @@
 ANNOUNCE_TIMEOUT_S = 1.0
 GRACEFUL_TIMEOUT_S = 30.0
 KEEP_ALIVE_TIMEOUT_S = 30.0
-# Used by tests and the demo only; routers never call these.
+# Paths used only by tests and the demo; routers never request them.
 UNAUTHENTICATED_PATHS = frozenset({"/stats", "/fail"})
 
 Message = MutableMapping[str, object]
@@ -27,7 +27,7 @@
 
 
 def open_listener(host: str, port: int) -> socket.socket:
-    """Opens a TCP socket; port 0 lets the kernel choose a free one."""
+    """Binds a TCP socket; port 0 lets the kernel choose a free port."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((host, port))
@@ -47,16 +47,16 @@
     stop: anyio.Event,
     graceful_s: float = GRACEFUL_TIMEOUT_S,
 ) -> None:
-    """Serves an ASGI application until `stop` is set and its work is done.
+    """Serves an ASGI application until `stop` is set, then shuts down.
 
     Args:
         app: ASGI application.
         listener: Socket to serve on.
-        stop: Ends the service.
+        stop: Starts the graceful shutdown when set.
         graceful_s: Longest wait for running requests in seconds.
     """
     cfg = Config()
-    # hypercorn takes over and closes the descriptor it is given.
+    # hypercorn takes ownership of the descriptor and closes it.
     cfg.bind = [f"fd://{listener.detach()}"]
     cfg.graceful_timeout = graceful_s
     cfg.keep_alive_timeout = KEEP_ALIVE_TIMEOUT_S
@@ -81,7 +81,7 @@
 async def answer(
     send: Send, code: int, body: object, headers: Headers | None = None
 ) -> None:
-    """Sends a whole JSON answer."""
+    """Sends a complete JSON answer."""
     data = json.dumps(body).encode()
     fields = {"content-type": "application/json", **(headers or {})}
     await send(
@@ -99,9 +99,10 @@
 
 
 async def send_incomplete_answer(send: Send, headers: Headers) -> None:
-    """Sends the head of an answer; the server then closes the connection.
+    """Sends only the head of an answer; the server closes the connection.
 
-    hypercorn answers 500 by itself to a request without any answer.
+    The head is needed because hypercorn answers 500 to a request if the
+    application sends nothing.
     """
     fields = {"content-length": "100", **headers}
     await send(
@@ -119,7 +120,7 @@
 
 
 def is_authorized(scope: Message, headers: Headers, credential: str) -> bool:
-    """Tells whether a request holds the credential or needs none."""
+    """Returns whether a request has the credential or needs none."""
     if scope["path"] in UNAUTHENTICATED_PATHS:
         return True
     return headers.get("authorization") == f"Bearer {credential}"
@@ -136,7 +137,7 @@
 
 @attrs.define
 class Announcer:
-    """Announces an endpoint to one router after the other.
+    """Announces an endpoint to the routers in turn.
 
     Attributes:
         routers: Base URLs of the routers.
@@ -150,7 +151,10 @@
     _next_router: int = 0
 
     async def announce(self) -> bool:
-        """Announces once; tries each router until one accepts."""
+        """Announces once and returns whether a router accepted it.
+
+        Each router is tried until one accepts.
+        """
         async with httpx.AsyncClient(
             timeout=ANNOUNCE_TIMEOUT_S, trust_env=False
         ) as client:
@@ -170,7 +174,7 @@
         return False
 
     async def run(self) -> None:
-        """Announces each `ANNOUNCE_S` until cancelled."""
+        """Announces every `ANNOUNCE_INTERVAL_S` until cancelled."""
         while self.routers:
             await self.announce()
             await anyio.sleep(ANNOUNCE_INTERVAL_S)
@@ -190,7 +194,7 @@
         listener: Socket to serve on.
         announcer: Announces the endpoint.
         leave: Changes the announcement to `leaving`.
-        end_feeds: Ends the streams that would otherwise never end.
+        end_feeds: Ends the feed streams, which otherwise never end.
     """
     stop = anyio.Event()
     port = listener.getsockname()[1]
@@ -212,6 +216,9 @@
         announcing.cancel()
         leave()
         if announcer.routers and not await announcer.announce():
-            print("no router took the leave", file=sys.stderr)
+            print(
+                "no router accepted the announcement as leaving",
+                file=sys.stderr,
+            )
         end_feeds()
         stop.set()
