--- a/spec/check.py
+++ b/spec/check.py
@@ -1,8 +1,8 @@
-"""Checks every specification and every seeded mutation; one command.
+"""Checks every specification and every seeded mutation.
 
-Prints states, time and bounds of each run. The exit code is 0 only when every
-invariant holds in the whole state space, every mutation is caught, and the
-code agrees with the traces of the specifications.
+Prints the states, CPU time and bounds of each run. The exit code is 0 only if
+every invariant holds in the whole state space, every mutation is detected, and
+the code agrees with the traces of the specifications.
 """
 
 import sys
@@ -19,7 +19,7 @@
 
 
 def check_model(model: Model) -> bool:
-    """Checks one specification without mutation."""
+    """Checks one specification without a mutation."""
     found = explore(model.build(""))
     ok = found.exhaustive and not found.refuted
     print(
@@ -33,39 +33,40 @@
 
 
 def check_mutation(
-    model: Model, mutation: Mutation, refuting: dict[str, list]
+    model: Model, mutation: Mutation, refuting_traces: dict[str, list]
 ) -> bool:
-    """Checks that the mutated specification is refuted; keeps the trace."""
-    found = explore(model.build(mutation.name), mutation.breaks)
-    ok = all(name in found.refuted for name in mutation.breaks)
+    """Checks that a mutation is refuted and records the refuting trace."""
+    found = explore(model.build(mutation.name), mutation.violates)
+    ok = all(name in found.refuted for name in mutation.violates)
     if ok:
-        labels = found.refuted[mutation.breaks[0]]
+        labels = found.refuted[mutation.violates[0]]
         trace = follow(model.build(mutation.name), labels)
-        refuting.setdefault(mutation.name, trace)
-    what = ", ".join(
+        refuting_traces.setdefault(mutation.name, trace)
+    violations = ", ".join(
         f"{name} in {len(labels)} steps"
         for name, labels in found.refuted.items()
     )
     print(
         f"{_verdict(ok)} {model.name}, mutation '{mutation.name}': "
-        f"{what or 'not caught'}; {found.states} states, {found.cpu_s:.1f} s",
+        f"{violations or 'not caught'}; {found.states} states, "
+        f"{found.cpu_s:.1f} s",
         flush=True,
     )
     return ok
 
 
 def main() -> int:
-    """Runs everything; returns the exit code."""
+    """Runs all checks and returns the exit code."""
     start = time.process_time()
-    refuting: dict[str, list] = {}
+    refuting_traces: dict[str, list] = {}
     results = [check_model(model) for model in MODELS]
     results += [
-        check_mutation(model, mutation, refuting)
+        check_mutation(model, mutation, refuting_traces)
         for model in MODELS
         for mutation in model.mutations
     ]
     if all(results):
-        results += replay.checks(refuting)
+        results += replay.checks(refuting_traces)
     failed = results.count(False)
     cpu_s = time.process_time() - start
     print(f"{len(results) - failed} passed, {failed} failed, {cpu_s:.1f} s CPU")
--- a/spec/once_spec.py
+++ b/spec/once_spec.py
@@ -1,8 +1,8 @@
 """Specification of the at-most-once record of one idempotency key.
 
-Attempts 0 and 2 are callers' requests at router 0, attempt 1 is one at
-router 1. Commands to the log may be delayed, overtaken and repeated. A check
-of the lease and the send that follows it are one step.
+Attempts 0 and 2 are requests of callers at router 0, attempt 1 is one at
+router 1. Commands to the log may be delayed, reordered and repeated. The check
+of the lease and the send after it are one step.
 """
 
 from functools import partial
@@ -10,18 +10,18 @@
 
 from minicheck import Protocol
 
-from spec.checking import Model, Mutation, put
+from spec.checking import Model, Mutation, replace_item
 
 IDLE, RESERVING, HELD, SENT, CLOSED, CRASHED = range(6)
 RESERVED, DONE, UNKNOWN = "reserved", "done", "unknown"
-NOT_RUN, GRANTED, NOTHING = "not_run", "granted", ""
+NOT_RUN, GRANTED, NO_VALUE = "not_run", "granted", ""
 ABSENT, IN_FLIGHT, RAN, DROPPED = range(4)
-FOREIGN = -1
+OTHER_KEY = -1
 ROUTER_OF = (0, 1, 0)
 
 
 class Record(NamedTuple):
-    """Record of the key; `answer` is the attempt whose run it answers."""
+    """Record of the key; `answer` is the attempt whose answer is stored."""
 
     status: str
     attempt: int
@@ -29,40 +29,40 @@
 
 
 class Command(NamedTuple):
-    """A command on its way to the log; `status` is what a settle says."""
+    """A command in flight to the log; a settle sets the record to `status`."""
 
     verb: str
     attempt: int
-    status: str = NOTHING
+    status: str = NO_VALUE
     answer: int | None = None
 
 
-def _order(command: Command) -> tuple[str, int]:
+def _command_key(command: Command) -> tuple[str, int]:
     return command[:2]
 
 
 class Attempt(NamedTuple):
     """A caller's request.
 
-    `reply` is the log's reply on its way, `session` the lease session in
-    which it reserved, `told` and `answer` what the caller was told, `network`
-    where the call to the service is.
+    `reply` is the log's reply in flight, `session` the lease session in which
+    the key was reserved. `reported` and `answer` are the outcome and answer
+    reported to the caller. `network` is the state of the call to the service.
     """
 
     phase: int = IDLE
-    reply: str = NOTHING
+    reply: str = NO_VALUE
     reply_answer: int | None = None
     session: int = 0
-    told: str = NOTHING
+    reported: str = NO_VALUE
     answer: int | None = None
     network: int = ABSENT
 
 
 class State(NamedTuple):
-    """Whole system.
+    """State of the whole system.
 
-    `leases` holds for each router (session, running); `was_unknown` tells
-    whether the record ever said unknown.
+    `leases` holds (session, running) for each router. `was_unknown` is set once
+    the status of the record has been unknown.
     """
 
     record: Record | None
@@ -83,7 +83,7 @@
 
 
 class OnceSpec:
-    """Transitions of the record within bounds."""
+    """Transitions of the at-most-once record within bounds."""
 
     def __init__(
         self,
@@ -98,7 +98,7 @@
         self.mutation = mutation
 
     def initial(self) -> State:
-        """Nothing has been asked yet."""
+        """Returns the state before the first request."""
         attempts = (Attempt(),) * len(ROUTER_OF)
         leases = ((0, True),) * 2
         return State(
@@ -108,27 +108,27 @@
     def transitions(self, state: State) -> list:
         """Lists the successors."""
         out: list = []
-        for command in sorted(state.commands, key=_order):
+        for command in sorted(state.commands, key=_command_key):
             self._apply(state, command, out)
         for a, attempt in enumerate(state.attempts):
-            self._ask(state, a, attempt, out)
+            self._reserve(state, a, attempt, out)
             self._read_reply(state, a, attempt, out)
             self._give_up(state, a, attempt, out)
             self._send(state, a, attempt, out)
-            self._serve(state, a, attempt, out)
-            self._hear(state, a, attempt, out)
+            self._run_or_drop(state, a, attempt, out)
+            self._receive_answer(state, a, attempt, out)
         for r in range(2):
             self._change_lease(state, r, out)
             self._crash(state, r, out)
         self._abandon(state, out)
         return out
 
-    # The replicated log.
+    # Replicated log
 
     def apply_to_record(
         self, record: Record | None, command: Command
     ) -> tuple[Record | None, str, int | None]:
-        """Returns the record afterwards and the reply to a reserve."""
+        """Returns the new record, and the status and answer for a reserve."""
         a = command.attempt
         if command.verb == "reserve":
             if record is None:
@@ -137,8 +137,8 @@
                 return record, GRANTED, None
             return record, record.status, record.answer
         if record is None or not self._owns(record, a):
-            return record, NOTHING, None
-        return self._settled(record, command), NOTHING, None
+            return record, NO_VALUE, None
+        return self._settled(record, command), NO_VALUE, None
 
     def _owns(self, record: Record, a: int) -> bool:
         if self.mutation == "settle matched by router only":
@@ -164,19 +164,19 @@
         attempts = state.attempts
         waiting = attempts[command.attempt]
         if command.verb == "reserve" and waiting.phase == RESERVING:
-            told = waiting._replace(reply=reply, reply_answer=answer)
-            attempts = put(attempts, command.attempt, told)
+            replied = waiting._replace(reply=reply, reply_answer=answer)
+            attempts = replace_item(attempts, command.attempt, replied)
         label = " ".join(["apply", *(str(x) or "-" for x in command)])
-        rest = state.commands - {command}
-        done = _note_unknown(
-            state._replace(record=record, attempts=attempts, commands=rest)
+        remaining = state.commands - {command}
+        applied = _note_unknown(
+            state._replace(record=record, attempts=attempts, commands=remaining)
         )
-        out.append((label, done))
+        out.append((label, applied))
         if state.repeats:
-            again = done._replace(
+            repeated = applied._replace(
                 commands=state.commands, repeats=state.repeats - 1
             )
-            out.append((label, again))
+            out.append((label, repeated))
 
     def _abandon(self, state: State, out: list) -> None:
         record = state.record
@@ -192,9 +192,9 @@
         after = _note_unknown(state._replace(record=unknown))
         out.append((f"abandon {record.attempt}", after))
 
-    # A router.
+    # Router
 
-    def _leased(self, state: State, a: int, attempt: Attempt) -> bool:
+    def _may_send(self, state: State, a: int, attempt: Attempt) -> bool:
         session, running = state.leases[ROUTER_OF[a]]
         if self.mutation == "send without a lease":
             return True
@@ -202,51 +202,62 @@
             return running
         return running and session == attempt.session
 
-    def _ask(self, state: State, a: int, attempt: Attempt, out: list) -> None:
+    def _reserve(
+        self, state: State, a: int, attempt: Attempt, out: list
+    ) -> None:
         session, running = state.leases[ROUTER_OF[a]]
         if attempt.phase != IDLE or not running:
             return
         asked = Attempt(RESERVING, session=session)
         commands = state.commands | {Command("reserve", a)}
-        out.append((f"reserve {a}", self._with(state, a, asked, commands)))
+        out.append(
+            (f"reserve {a}", self._with_attempt(state, a, asked, commands))
+        )
 
-    def _with(
+    def _with_attempt(
         self,
         state: State,
         a: int,
         attempt: Attempt,
         commands: frozenset[Command],
     ) -> State:
-        attempts = put(state.attempts, a, attempt)
+        attempts = replace_item(state.attempts, a, attempt)
         return state._replace(attempts=attempts, commands=commands)
 
     def _read_reply(self, state: State, a: int, attempt: Attempt, out: list):
         if attempt.phase != RESERVING or not attempt.reply:
             return
         if attempt.reply == GRANTED:
-            read = attempt._replace(phase=HELD, reply=NOTHING)
+            read = attempt._replace(phase=HELD, reply=NO_VALUE)
         else:
-            told = DONE if attempt.reply == DONE else UNKNOWN
+            reported = DONE if attempt.reply == DONE else UNKNOWN
             answer = attempt.reply_answer
-            read = Attempt(CLOSED, told=told, answer=answer)
-        out.append((f"read {a}", self._with(state, a, read, state.commands)))
+            read = Attempt(CLOSED, reported=reported, answer=answer)
+        out.append(
+            (f"read {a}", self._with_attempt(state, a, read, state.commands))
+        )
 
     def _close(
         self,
         state: State,
         a: int,
-        told: str,
+        reported: str,
         status: str,
         answer: int | None = None,
     ) -> State:
-        """Tells the caller, and the log through a settle."""
+        """Reports the outcome to the caller and sends a settle to the log."""
         network = state.attempts[a].network
-        closed = Attempt(CLOSED, told=told, answer=answer, network=network)
+        closed = Attempt(
+            CLOSED, reported=reported, answer=answer, network=network
+        )
         settle = Command("settle", a, status, answer)
-        return self._with(state, a, closed, state.commands | {settle})
+        return self._with_attempt(state, a, closed, state.commands | {settle})
 
     def _give_up(self, state: State, a: int, attempt: Attempt, out: list):
-        """Nothing was written: refused connection, time-out, lost lease."""
+        """Ends an attempt that wrote nothing to the service.
+
+        The causes are a refused connection, a time-out and a lost lease.
+        """
         if attempt.phase in (RESERVING, HELD):
             out.append((f"give up {a}", self._close(state, a, *[NOT_RUN] * 2)))
 
@@ -254,11 +265,11 @@
         ready = attempt.phase == HELD
         if self.mutation == "send before reserve is durable":
             ready = ready or attempt.phase == RESERVING
-        if not ready or not self._leased(state, a, attempt):
+        if not ready or not self._may_send(state, a, attempt):
             return
         late = state.was_unknown
         sent = attempt._replace(phase=SENT, network=IN_FLIGHT)
-        after = self._with(state, a, sent, state.commands)
+        after = self._with_attempt(state, a, sent, state.commands)
         out.append(
             (
                 f"send {a}",
@@ -268,37 +279,41 @@
             )
         )
 
-    def _serve(self, state: State, a: int, attempt: Attempt, out: list):
+    def _run_or_drop(self, state: State, a: int, attempt: Attempt, out: list):
         if attempt.network != IN_FLIGHT:
             return
-        ran = self._with(
+        ran = self._with_attempt(
             state, a, attempt._replace(network=RAN), state.commands
         )
         out.append((f"run {a}", ran._replace(runs=state.runs + 1)))
         lost = attempt._replace(network=DROPPED)
-        out.append((f"drop {a}", self._with(state, a, lost, state.commands)))
+        out.append(
+            (f"drop {a}", self._with_attempt(state, a, lost, state.commands))
+        )
 
-    def _hear(self, state: State, a: int, attempt: Attempt, out: list) -> None:
+    def _receive_answer(
+        self, state: State, a: int, attempt: Attempt, out: list
+    ) -> None:
         if attempt.phase != SENT:
             return
         if attempt.network == RAN:
-            whole = self._close(state, a, DONE, DONE, a)
-            out.append((f"answer {a}", whole))
+            answered = self._close(state, a, DONE, DONE, a)
+            out.append((f"answer {a}", answered))
         failed = NOT_RUN if self.mutation == "not_run after a write" else None
-        broken = self._close(state, a, failed or UNKNOWN, failed or UNKNOWN)
-        out.append((f"fail {a}", broken))
+        ended = self._close(state, a, failed or UNKNOWN, failed or UNKNOWN)
+        out.append((f"fail {a}", ended))
         if self.mutation == "accept a crossed answer":
-            crossed = self._close(state, a, DONE, DONE, FOREIGN)
+            crossed = self._close(state, a, DONE, DONE, OTHER_KEY)
             out.append((f"crossed {a}", crossed))
 
-    # Leases and crashes.
+    # Leases and crashes
 
     def _change_lease(self, state: State, r: int, out: list) -> None:
         session, running = state.leases[r]
         if session >= self.sessions[r]:
             return
         change = (session, False) if running else (session + 1, True)
-        leases = put(state.leases, r, change)
+        leases = replace_item(state.leases, r, change)
         label = f"{'lease ends' if running else 'lease again'} {r}"
         out.append((label, state._replace(leases=leases)))
 
@@ -321,33 +336,33 @@
 
 
 def answer_of_its_key(state: dict) -> bool:
-    """Stored and told answers come from a run of this key."""
+    """Stored and reported answers come from a run of this key."""
     attempts, record = state["attempts"], state["record"]
-    answers = [x.answer for x in attempts if x.told == DONE]
+    answers = [x.answer for x in attempts if x.reported == DONE]
     if record is not None and record.status == DONE:
         answers.append(record.answer)
     return all(
-        x is not None and x != FOREIGN and attempts[x].network == RAN
+        x is not None and x != OTHER_KEY and attempts[x].network == RAN
         for x in answers
     )
 
 
 def no_send_after_unknown(state: dict) -> bool:
-    """Nobody sends once the key's outcome is recorded as unknown."""
+    """No attempt sends after the outcome was recorded as unknown."""
     return not state["sent_after_unknown"]
 
 
 def not_run_is_final(state: dict) -> bool:
-    """What was told as not run has not run and cannot run."""
+    """A call reported as not run has not run and cannot run later."""
     return all(
         x.network in (ABSENT, DROPPED) and x.phase == CLOSED
         for x in state["attempts"]
-        if x.told == NOT_RUN
+        if x.reported == NOT_RUN
     )
 
 
 def build(repeats: int, crashes: int, sessions: int, mutation: str) -> Protocol:
-    """Creates the protocol."""
+    """Creates the protocol for the model checker."""
     spec = OnceSpec(repeats, crashes, sessions, mutation)
     return Protocol(
         "once",
--- a/spec/replay_lease.py
+++ b/spec/replay_lease.py
@@ -1,6 +1,6 @@
 """Replays traces of `lease_spec` on `knapweedarch.leases`.
 
-Routers have the slowest allowed clock, on which 2.0 s last 2.1 s.
+Routers have the slowest clock allowed, on which 2.0 s last 2.1 s.
 """
 
 from knapweedarch.leases import (
@@ -12,16 +12,17 @@
 )
 from spec import lease_spec
 
-TICK_S = GRANT_S / lease_spec.GRANT
-# Comparisons are made just after a tick, where sums of floats decide nothing.
-AFTER_S = 1e-6
+TICK_S = GRANT_S / lease_spec.GRANT_TICKS
+# Code and specification are compared just after a tick, so that floating-point
+# rounding at the tick itself does not affect the result.
+COMPARISON_OFFSET_S = 1e-6
 
 
 class LeaseReplay:
-    """Real tables and leases driven by the steps of a trace.
+    """Lease tables and leases of the code, driven by the steps of a trace.
 
     Attributes:
-        fault: What the code refused although the specification allows it.
+        fault: A step that the specification allows and the code refused.
     """
 
     def __init__(self, routers: int, drift: float = MAX_CLOCK_DRIFT):
@@ -29,7 +30,7 @@
         self._drift = drift
         self._tables = [LeaseTable(0.0)]
         self._leases = [Lease() for _ in range(routers)]
-        self._starts = [0] * routers
+        self._incarnations = [0] * routers
         self.fault = ""
 
     def _now(self) -> float:
@@ -39,15 +40,15 @@
         return 1000.0 + now / (1 + self._drift)
 
     def step(self, label: str, state: lease_spec.State) -> None:
-        """Makes the step of the specification that led to `state`."""
+        """Applies the step of the specification that led to `state`."""
         match label.split():
             case ["commit"]:
-                # `in_force` notes the same, but would already answer if no
-                # router has a lease, where the specification may answer later.
+                # `in_force` records the same, but would answer at once if no
+                # router has a lease; the specification may answer later.
                 waiting = self._tables[-1]._waiting_since
                 waiting[state.committed] = self._now()
             case ["in", "force", n, version]:
-                now = self._now() + AFTER_S
+                now = self._now() + COMPARISON_OFFSET_S
                 if not self._tables[int(n)].in_force(int(version), now):
                     self.fault = "the change is not in force"
             case ["tick"]:
@@ -55,46 +56,50 @@
             case ["elect", _]:
                 self._tables.append(LeaseTable(self._now()))
             case ["restart", r]:
-                # The specification drops the old grant; it only delays answers.
+                # The specification drops the old grant, since it could only
+                # delay answers.
                 for table in self._tables:
-                    table._grants.pop(f"{r}/{self._starts[int(r)]}", None)
-                self._starts[int(r)] += 1
+                    table._grants.pop(f"{r}/{self._incarnations[int(r)]}", None)
+                self._incarnations[int(r)] += 1
                 self._leases[int(r)] = Lease()
             case ["grant", n, r, "renew", _, applied]:
-                holder = f"{r}/{self._starts[int(r)]}"
+                holder = f"{r}/{self._incarnations[int(r)]}"
                 self._tables[int(n)].grant(holder, int(applied), self._now())
             case ["take", r, "grant", left, _]:
-                # The end of the lease is the same if the whole duration is
-                # counted from when the renewal was sent.
-                age = (lease_spec.GRANT - int(left)) * TICK_S
-                asked = self._clock(self._now() - age)
+                # Counting the whole duration from when the renewal was sent
+                # gives the same end of the lease.
+                age = (lease_spec.GRANT_TICKS - int(left)) * TICK_S
+                sent_at = self._clock(self._now() - age)
                 now = self._clock(self._now())
-                self._leases[int(r)].granted(asked, LEASE_S, now)
+                self._leases[int(r)].granted(sent_at, LEASE_S, now)
 
-    def difference(self, state: lease_spec.State) -> str | None:
-        """Tells where code and specification differ now."""
+    def find_mismatch(self, state: lease_spec.State) -> str | None:
+        """Returns how code and specification differ in this state, or None."""
         if self.fault:
             return self.fault
-        now = self._now() + AFTER_S
+        now = self._now() + COMPARISON_OFFSET_S
         for r, router in enumerate(state.routers):
             if self._leases[r].holds(self._clock(now)) != bool(router.lease):
                 return f"lease of router {r}"
         for n, leader in enumerate(state.leaders):
             for version in range(1, state.committed + 1):
                 expected = any(t and v < version for t, v in leader.grants)
-                seen = bool(self._tables[n].waiting_for(version, now))
-                if seen != expected:
+                actual = bool(self._tables[n].waiting_for(version, now))
+                if actual != expected:
                     return f"waiting_for({version}) of leader {n}"
         return None
 
 
-def difference(
+def find_mismatch(
     trace: list, routers: int, drift: float = MAX_CLOCK_DRIFT
 ) -> str | None:
-    """Returns the first step at which code and specification differ."""
-    run = LeaseReplay(routers, drift)
+    """Returns the first step at which code and specification differ.
+
+    Returns None if they agree on the whole trace.
+    """
+    replay = LeaseReplay(routers, drift)
     for i, (label, after) in enumerate(trace):
-        run.step(label, after)
-        if found := run.difference(after):
+        replay.step(label, after)
+        if found := replay.find_mismatch(after):
             return f"step {i} {label}: {found}"
     return None
--- a/spec/replay_once.py
+++ b/spec/replay_once.py
@@ -27,7 +27,7 @@
 
 
 def _command(label: str) -> object | None:
-    """Returns the command of a step, or None if it applies none."""
+    """Returns the command of a step, or None if the step applies none."""
     match label.split():
         case ["apply", "reserve", a, *_]:
             return Reserve(KEY, b"digest", _holder(int(a)), 0.0)
@@ -46,31 +46,32 @@
     return record.status, _holder(record.attempt), str(record.answer)
 
 
-def _seen(record: Record | None) -> tuple | None:
+def _actual(record: Record | None) -> tuple | None:
     if record is None:
         return None
     answer = record.answer.decode() or "None"
     return record.status.value, record.holder, answer
 
 
-def difference(trace: list, restore_at: int = -1) -> str | None:
+def find_mismatch(trace: list, restore_at: int = -1) -> str | None:
     """Returns the first step at which code and specification differ.
 
-    At step `restore_at` the state goes through a snapshot.
+    At step `restore_at`, the state is restored from its own snapshot. Returns
+    None if they agree on the whole trace.
     """
     state = ControlState()
     for i, (label, after) in enumerate(trace):
         if i == restore_at:
-            taken, state = state.snapshot(), ControlState()
-            state.restore(taken)
+            snapshot, state = state.snapshot(), ControlState()
+            state.restore(snapshot)
         command = _command(label)
         if command is None:
             continue
         before = state.records.get(KEY)
         result = RESULTS.decode(state.apply(COMMANDS.encode(command)))
-        seen = _seen(state.records.get(KEY))
-        if seen != _expected(after.record):
-            return f"step {i} {label}: record {seen}, not {after.record}"
+        actual = _actual(state.records.get(KEY))
+        if actual != _expected(after.record):
+            return f"step {i} {label}: record {actual}, not {after.record}"
         if isinstance(command, Reserve) and (
             isinstance(result, Reserved) != (before is None)
         ):
--- a/standins/desk.py
+++ b/standins/desk.py
@@ -1,10 +1,13 @@
-"""Stand-in plain service: bookings and orders that count their runs.
-
-Fault modes: `crash` closes the connection after the run, before the body of
-the answer; `exit` ends the process after the run and before the answer;
-`close` closes the connection before the run; `delay` answers after `at`
-seconds, `crossed` names another request, `big` answers with `at` bytes,
-`error` answers 500 after the run.
+"""Stand-in plain service that counts the runs of each request.
+
+Fault modes:
+- `crash` closes the connection after the run, before the body of the answer.
+- `exit` ends the process after the run, before the answer.
+- `close` closes the connection before the run.
+- `delay` answers after `at` seconds.
+- `crossed` answers with the id of another request.
+- `big` pads the answer with `at` bytes.
+- `error` answers 500 after the run.
 """
 
 import json
@@ -29,8 +32,13 @@
         service: Name of the service.
         credential: The shared endpoint credential.
         data_centre: Data centre of the endpoint.
-        journal: File that gets one line per run; empty for none.
-        runs: Runs by idempotency key or request.
+        journal: File to which each run appends a line; empty for none.
+        url: Base URL that it announces.
+        status: Status that it announces.
+        incarnation: Random identifier of this process.
+        faults: Faults still to be injected.
+        runs: Runs by idempotency key or, without one, by request id.
+        counts: Runs by path; reads are counted by name.
     """
 
     id: str = "desk-1"
@@ -58,7 +66,7 @@
         }
 
     def leave(self) -> None:
-        """Announces `leaving` from now on."""
+        """Sets the status of further announcements to `leaving`."""
         self.status = "leaving"
 
     async def __call__(self, scope, receive, send) -> None:
@@ -66,13 +74,15 @@
         if scope["type"] == "lifespan":
             return await serving.handle_lifespan(receive, send)
         headers = serving.header_map(scope)
-        if not serving.allowed(scope, headers, self.credential):
+        if not serving.is_authorized(scope, headers, self.credential):
             return await serving.answer(send, 401, {"error": "credential"})
         match scope["method"], scope["path"]:
             case "POST", "/deposits" | "/bookings" | "/orders":
-                await self._take(scope["path"], headers, receive, send)
+                await self._handle_write(scope["path"], headers, receive, send)
             case "GET", "/availability":
-                await self._serve(headers, send, {"free": 3}, "availability")
+                await self._handle_read(
+                    headers, send, {"free": 3}, "availability"
+                )
             case "GET", "/stats":
                 stats = {"runs": dict(self.runs), "counts": dict(self.counts)}
                 await serving.answer(send, 200, stats)
@@ -82,20 +92,22 @@
                 await serving.answer(send, 200, {})
             case _:
                 await serving.answer(
-                    send, 404, {"error": "path"}, _echo(headers)
+                    send, 404, {"error": "path"}, _echoed_headers(headers)
                 )
 
-    async def _take(self, path, headers, receive, send) -> None:
+    async def _handle_write(self, path, headers, receive, send) -> None:
         body = await serving.read_body(receive)
         key = headers.get("idempotency-key", headers.get("x-request-id", ""))
         fault = self.faults.take()
         if fault and fault.mode == "close":
-            return await serving.cut_off(send, _echo(headers))
-        self._run(key, path, body)
+            return await serving.send_incomplete_answer(
+                send, _echoed_headers(headers)
+            )
+        self._record_run(key, path, body)
         answer = {"number": sum(self.runs.values()), "path": path}
         await self._answer(headers, send, answer, fault)
 
-    def _run(self, key: str, path: str, body: bytes) -> None:
+    def _record_run(self, key: str, path: str, body: bytes) -> None:
         self.runs[key] += 1
         self.counts[path] += 1
         if self.journal:
@@ -103,18 +115,20 @@
             with open(self.journal, "a") as file:
                 file.write(line + "\n")
 
-    async def _serve(self, headers, send, answer, name: str) -> None:
+    async def _handle_read(self, headers, send, answer, name: str) -> None:
         fault = self.faults.take()
         if fault and fault.mode == "close":
-            return await serving.cut_off(send, _echo(headers))
+            return await serving.send_incomplete_answer(
+                send, _echoed_headers(headers)
+            )
         self.counts[name] += 1
         await self._answer(headers, send, answer, fault)
 
     async def _answer(self, headers, send, body, fault: Fault | None) -> None:
-        echo, code = _echo(headers), 200
+        echo, code = _echoed_headers(headers), 200
         match fault:
             case Fault(mode="crash"):
-                return await serving.cut_off(send, echo)
+                return await serving.send_incomplete_answer(send, echo)
             case Fault(mode="exit"):
                 os._exit(1)
             case Fault(mode="delay", at=delay_s):
@@ -128,7 +142,7 @@
         await serving.answer(send, code, body, echo)
 
 
-def _echo(headers: serving.Headers) -> serving.Headers:
+def _echoed_headers(headers: serving.Headers) -> serving.Headers:
     names = ("x-request-id", "x-attempt-id")
     return {name: headers[name] for name in names if name in headers}
 
@@ -152,9 +166,9 @@
     :param routers: Base URLs of routers, separated by commas.
     :param credential: The shared endpoint credential.
     :param data_centre: Data centre of the endpoint.
-    :param journal: File that gets one line per run.
-    :param fail: Fault of the first requests, `mode[:at[:times]]`.
-    :param host: IP number to listen on.
+    :param journal: File to which each run appends a line.
+    :param fail: Fault injected into the first requests, `mode[:at[:times]]`.
+    :param host: IP address to listen on.
     :param port: Port to listen on; 0 lets the kernel choose.
     """
     desk = Desk(id, service, credential, data_centre, journal)
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,9 +1,10 @@
-"""TCP relay that can make open connections go silent, for tests.
+"""TCP relay that can stop forwarding without closing connections, for tests.
 
 It runs on a thread of the test process. `silence` stops forwarding on the
-connections open now and keeps them open at both ends, while new connections
-work: this is how a middle box that lost its table looks from outside.
-`cut` lets nothing through, old or new, without closing anything.
+connections that are open and keeps both ends open, while new connections work.
+This is the effect of a middlebox that lost its connection table.
+`set_partitioned` stops forwarding on old and new connections, also without
+closing any.
 """
 
 import selectors
@@ -15,7 +16,7 @@
 
 
 class Relay:
-    """Forwards one port to another; use it as a context manager."""
+    """Forwards one TCP port to another; a context manager."""
 
     def __init__(self, host: str, target: tuple[str, int]):
         self._target = target
@@ -26,7 +27,7 @@
         self._silent: set[socket.socket] = set()
         self._open: set[socket.socket] = set()
         self._lock = threading.Lock()
-        self._is_cut = False
+        self._partitioned = False
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
@@ -42,26 +43,26 @@
         self._selector.close()
 
     def silence(self) -> int:
-        """Makes the open connections silent for good; returns how many."""
+        """Stops forwarding on open connections for good; returns how many."""
         with self._lock:
             silenced = self._open - self._silent
             self._silent |= silenced
             return len(silenced) // 2
 
-    def cut(self, is_cut: bool) -> None:
+    def set_partitioned(self, partitioned: bool) -> None:
         """Starts or ends a silent partition."""
         with self._lock:
-            if is_cut:
+            if partitioned:
                 self._silent |= self._open
-            self._is_cut = is_cut
+            self._partitioned = partitioned
 
     def _run(self) -> None:
         while not self._stop.is_set():
             for key, _ in self._selector.select(POLL_S):
                 with self._lock:
-                    self._serve(key)
+                    self._forward(key)
 
-    def _serve(self, key: selectors.SelectorKey) -> None:
+    def _forward(self, key: selectors.SelectorKey) -> None:
         if key.fileobj is self._listener:
             self._accept()
             return
@@ -79,20 +80,24 @@
         self._close(source, other)
 
     def _accept(self) -> None:
-        near, _ = self._listener.accept()
-        self._open.add(near)
-        if self._is_cut:
-            self._silent.add(near)
+        client_socket, _ = self._listener.accept()
+        self._open.add(client_socket)
+        if self._partitioned:
+            self._silent.add(client_socket)
             return
         try:
-            far = socket.create_connection(self._target, timeout=1)
+            target_socket = socket.create_connection(self._target, timeout=1)
         except OSError:
-            self._open.discard(near)
-            near.close()
+            self._open.discard(client_socket)
+            client_socket.close()
             return
-        self._open.add(far)
-        self._selector.register(near, selectors.EVENT_READ, far)
-        self._selector.register(far, selectors.EVENT_READ, near)
+        self._open.add(target_socket)
+        self._selector.register(
+            client_socket, selectors.EVENT_READ, target_socket
+        )
+        self._selector.register(
+            target_socket, selectors.EVENT_READ, client_socket
+        )
 
     def _close(self, *pair: socket.socket) -> None:
         for sock in pair:
