--- a/knapweedarch/api.py
+++ b/knapweedarch/api.py
@@ -139,11 +139,11 @@
     """
     text = rule_files.read_rules_text(path)
     if base_version is None:
-        base_version = rule_files.noted_base(path)
+        base_version = rule_files.read_base_version(path)
     request_id = _choose_id(request_id, apply_order(text, base_version))
     result = _submit(settings, PutRules(request_id, base_version, text))
     if isinstance(result, RulesAccepted):
-        rule_files.note_base(path, result.version)
+        rule_files.write_base_version(path, result.version)
     return result
 
 
--- a/knapweedarch/cli.py
+++ b/knapweedarch/cli.py
@@ -108,7 +108,7 @@
     text = rule_files.read_rules_text(file)
     found = api.status(api.load(settings))
     changes = diff_rules(parse_rules(found.rules_text), parse_rules(text))
-    noted = rule_files.note_base(file, found.rules_version)
+    noted = rule_files.write_base_version(file, found.rules_version)
     same_text = text == found.rules_text
     reports.print_diff(found.rules_version, changes, same_text, json)
     if not noted:
@@ -136,7 +136,7 @@
     """
     text = rule_files.read_rules_text(file)
     if base is None:
-        base = rule_files.noted_base(file)
+        base = rule_files.read_base_version(file)
     if not 0 <= base <= MAX_VERSION:
         raise UsageError(f"--base: {base}; allowed: 0 to {MAX_VERSION}")
     loaded = api.load(settings)
--- a/knapweedarch/rule_files.py
+++ b/knapweedarch/rule_files.py
@@ -53,7 +53,7 @@
     return pathlib.Path(f"{path}{BASE_SUFFIX}")
 
 
-def noted_base(path: str | pathlib.Path) -> int:
+def read_base_version(path: str | pathlib.Path) -> int:
     """Returns the version that a rule file is based on.
 
     It is 0 if none is noted, which fits only the first file of a deployment.
@@ -73,17 +73,17 @@
     return int(text)
 
 
-def note_base(path: str | pathlib.Path, version: int) -> bool:
+def write_base_version(path: str | pathlib.Path, version: int) -> bool:
     """Notes the version that a rule file is based on.
 
     Returns:
         Whether the note could be written.
     """
     base = _base_path(path)
-    new = pathlib.Path(f"{base}.new")
+    temporary = pathlib.Path(f"{base}.new")
     try:
-        new.write_text(f"{version}\n", "utf-8")
-        os.replace(new, base)
+        temporary.write_text(f"{version}\n", "utf-8")
+        os.replace(temporary, base)
     except OSError:
         return False
     return True
--- a/knapweedarch/rule_kinds.py
+++ b/knapweedarch/rule_kinds.py
@@ -51,8 +51,8 @@
     """
 
     attribute: str
-    read: Callable[[str], object]
-    write: Callable[[object], str]
+    parse: Callable[[str], object]
+    format: Callable[[object], str]
     required: bool = False
 
 
@@ -60,7 +60,7 @@
 class Kind:
     """A kind of rule: how to create one and its fields by key."""
 
-    create: type
+    rule_class: type
     fields: dict[str, Field]
 
 
@@ -69,21 +69,21 @@
     return repr(text if len(text) <= 40 else f"{text[:37]}...")
 
 
-def _number(low: float, high: float) -> Callable[[str], float]:
+def _number_parser(low: float, high: float) -> Callable[[str], float]:
     bounds = f"{_format_number(low)} to {_format_number(high)}"
 
-    def read(text: str) -> float:
+    def parse(text: str) -> float:
         if not _NUMBER.fullmatch(text) or not low <= float(text) <= high:
             raise InvalidValueError(
                 f"{shorten(text)} is not a number from {bounds}"
             )
         return float(text)
 
-    return read
+    return parse
 
 
-def _integer(low: int, high: int) -> Callable[[str], int]:
-    def read(text: str) -> int:
+def _integer_parser(low: int, high: int) -> Callable[[str], int]:
+    def parse(text: str) -> int:
         if not re.fullmatch(r"[0-9]{1,12}", text) or not (
             low <= int(text) <= high
         ):
@@ -92,20 +92,20 @@
             )
         return int(text)
 
-    return read
+    return parse
 
 
-def _matching(pattern: re.Pattern, allowed: str) -> Callable[[str], str]:
-    def read(text: str) -> str:
+def _pattern_parser(pattern: re.Pattern, allowed: str) -> Callable[[str], str]:
+    def parse(text: str) -> str:
         if not pattern.fullmatch(text):
             raise InvalidValueError(f"{shorten(text)} is not {allowed}")
         return text
 
-    return read
+    return parse
 
 
-def _list_of(read_item: Callable[[str], str]) -> Callable[[str], tuple]:
-    def read(text: str) -> tuple[str, ...]:
+def _list_parser(parse_item: Callable[[str], str]) -> Callable[[str], tuple]:
+    def parse(text: str) -> tuple[str, ...]:
         found: list[str] = []
         offset = 0
         for item in text.split(","):
@@ -114,7 +114,7 @@
                     f"{shorten(item)} is given twice", offset
                 )
             try:
-                found.append(read_item(item))
+                found.append(parse_item(item))
             except InvalidValueError as exc:
                 raise InvalidValueError(exc.reason, offset) from exc
             offset += len(item) + 1
@@ -122,10 +122,10 @@
             raise InvalidValueError(f"more than {MAX_ITEMS} items")
         return tuple(found)
 
-    return read
+    return parse
 
 
-def _key_digest(text: str) -> str:
+def _parse_key_digest(text: str) -> str:
     found = _KEY.fullmatch(text)
     if not found:
         # The value is not repeated: it may be an API key pasted in the clear.
@@ -135,7 +135,7 @@
     return found[1].lower()
 
 
-def _priority(text: str) -> Priority:
+def _parse_priority(text: str) -> Priority:
     names = {p.name.lower(): p for p in Priority}
     if text not in names:
         raise InvalidValueError(
@@ -144,8 +144,8 @@
     return names[text]
 
 
-read_name = _matching(_NAME, _NAME_ALLOWED)
-_path = _matching(_PATH, "a path such as /deposits or /shop/orders")
+parse_name = _pattern_parser(_NAME, _NAME_ALLOWED)
+_parse_path = _pattern_parser(_PATH, "a path such as /deposits or /shop/orders")
 
 
 def _format_number(value: float) -> str:
@@ -157,26 +157,30 @@
         CustomerRule,
         {
             "key": Field(
-                "key_digest", _key_digest, lambda v: f"sha256:{v}", True
+                "key_digest", _parse_key_digest, lambda v: f"sha256:{v}", True
+            ),
+            "class": Field(
+                "priority", _parse_priority, lambda v: v.name.lower()
+            ),
+            "rate": Field("rate", _number_parser(0, MAX_RATE), _format_number),
+            "concurrent": Field(
+                "concurrent", _integer_parser(0, MAX_CONCURRENT), str
             ),
-            "class": Field("priority", _priority, lambda v: v.name.lower()),
-            "rate": Field("rate", _number(0, MAX_RATE), _format_number),
-            "concurrent": Field("concurrent", _integer(0, MAX_CONCURRENT), str),
             "share": Field(
-                "share", _number(MIN_SHARE, MAX_SHARE), _format_number
+                "share", _number_parser(MIN_SHARE, MAX_SHARE), _format_number
             ),
-            "models": Field("models", _list_of(read_name), ",".join),
+            "models": Field("models", _list_parser(parse_name), ",".join),
         },
     ),
     "model": Kind(
         ModelRule,
         {
             "version": Field(
-                "version", _matching(_VERSION, "a version name"), str
+                "version", _pattern_parser(_VERSION, "a version name"), str
             ),
             "first_token": Field(
                 "first_token_s",
-                _number(MIN_TIME_S, MAX_TIME_S),
+                _number_parser(MIN_TIME_S, MAX_TIME_S),
                 _format_number,
             ),
         },
@@ -184,9 +188,11 @@
     "service": Kind(
         ServiceRule,
         {
-            "once": Field("once", _list_of(_path), ",".join),
+            "once": Field("once", _list_parser(_parse_path), ",".join),
             "timeout": Field(
-                "timeout_s", _number(MIN_TIME_S, MAX_TIME_S), _format_number
+                "timeout_s",
+                _number_parser(MIN_TIME_S, MAX_TIME_S),
+                _format_number,
             ),
         },
     ),
--- a/knapweedarch/rules.py
+++ b/knapweedarch/rules.py
@@ -18,7 +18,7 @@
     InvalidValueError,
     Kind,
     Rule,
-    read_name,
+    parse_name,
     shorten,
 )
 
@@ -28,7 +28,7 @@
 MAX_LINES = 20_000
 MAX_LINE_CHARACTERS = 4_096
 
-_ASKED = re.compile(r"#[ \t]*asked by[ \t]+(.+)")
+_ASKED_BY = re.compile(r"#[ \t]*asked by[ \t]+(.+)")
 _TOKEN = re.compile(r"[^ \t]+")
 
 
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class _ModelUse:
+class _ModelReference:
     """A customer's mention of a model, checked once all models are known."""
 
     model: str
@@ -64,30 +64,30 @@
         # does not cause others on other lines.
         self._names: dict[tuple[str, str], int] = {}
         self._digests: dict[str, int] = {}
-        self._uses: list[_ModelUse] = []
+        self._model_references: list[_ModelReference] = []
 
-    def fault(self, line: int, column: int, reason: str) -> None:
+    def add_fault(self, line: int, column: int, reason: str) -> None:
         """Notes a fault; columns count characters from 1."""
         self.faults.append(_Fault(line, column, reason))
 
     def parse(self, text: str) -> Generator[None, None, Rules]:
         """Parses the whole text in steps; faults are left in `faults`."""
-        for number, line in enumerate(_lines(text), 1):
+        for number, line in enumerate(_split_lines(text), 1):
             if self._has_rule(number, line):
                 self._parse_line(number, line)
             if number % LINES_PER_STEP == 0:
                 yield
-        for use in self._uses:
-            if ("model", use.model) not in self._names:
-                reason = f"model {use.model!r} has no rule in this file"
-                self.fault(use.line, use.column, reason)
+        for reference in self._model_references:
+            if ("model", reference.model) not in self._names:
+                reason = f"model {reference.model!r} has no rule in this file"
+                self.add_fault(reference.line, reference.column, reason)
         return Rules(*(tuple(self._rules[kind]) for kind in KINDS))
 
     def _has_rule(self, number: int, line: str) -> bool:
         """Tells whether the line holds a rule, and refuses unreadable ones."""
         limit = MAX_LINE_CHARACTERS
         if len(line) > limit:
-            self.fault(number, limit + 1, f"more than {limit} characters")
+            self.add_fault(number, limit + 1, f"more than {limit} characters")
             return False
         printable = line.replace("\t", " ")
         if not printable.isprintable():
@@ -95,14 +95,14 @@
                 i for i, c in enumerate(printable, 1) if not c.isprintable()
             )
             code = f"U+{ord(line[column - 1]):04X}"
-            self.fault(number, column, f"character {code} is not allowed")
+            self.add_fault(number, column, f"character {code} is not allowed")
             return False
         content = line.strip(" \t")
         return bool(content) and not content.startswith("#")
 
     def _parse_line(self, number: int, line: str) -> None:
         body = line.partition("#")[0]
-        asked_by = self._read_comment(number, line, len(body))
+        asked_by = self._read_asked_by(number, line, len(body))
         tokens = [
             _Token(m.group(), m.start() + 1) for m in _TOKEN.finditer(body)
         ]
@@ -110,17 +110,17 @@
         if kind is None:
             known = ", ".join(KINDS)
             reason = f"unknown kind {shorten(tokens[0].text)}; known: {known}"
-            self.fault(number, tokens[0].column, reason)
+            self.add_fault(number, tokens[0].column, reason)
             return
         self._parse_rule(number, tokens, kind, asked_by)
 
-    def _read_comment(self, number: int, line: str, start: int) -> str:
-        found = _ASKED.fullmatch(line[start:])
+    def _read_asked_by(self, number: int, line: str, start: int) -> str:
+        found = _ASKED_BY.fullmatch(line[start:])
         name = found[1].partition(":")[0].strip(" \t") if found else ""
         if name:
             return name
         column = min(start, len(line.rstrip(" \t"))) + 1
-        self.fault(number, column, "'# asked by NAME' is missing")
+        self.add_fault(number, column, "'# asked by NAME' is missing")
         return ""
 
     def _parse_rule(
@@ -129,50 +129,52 @@
         first = tokens[0]
         if len(tokens) < 2 or "=" in tokens[1].text:
             column = first.column + len(first.text)
-            self.fault(number, column, f"the {first.text} has no name")
+            self.add_fault(number, column, f"the {first.text} has no name")
             return
         before = len(self.faults)
-        name = self._convert(number, tokens[1], tokens[1].text, read_name)
-        self._note_name(number, first.text, tokens[1])
+        name = self._convert(number, tokens[1], tokens[1].text, parse_name)
+        self._register_name(number, first.text, tokens[1])
         values = self._read_fields(number, tokens[2:], kind)
         for key, field in kind.fields.items():
             if field.required and not any(
                 token.text.partition("=")[0] == key for token in tokens[2:]
             ):
-                self.fault(number, first.column, f"field {key!r} is missing")
+                self.add_fault(
+                    number, first.column, f"field {key!r} is missing"
+                )
         if len(self.faults) == before:
-            rule = kind.create(name=name, asked_by=asked_by, **values)
+            rule = kind.rule_class(name=name, asked_by=asked_by, **values)
             self._rules[first.text].append(rule)
 
-    def _note_name(self, number: int, kind: str, token: _Token) -> None:
+    def _register_name(self, number: int, kind: str, token: _Token) -> None:
         line = self._names.setdefault((kind, token.text), number)
         if line != number:
             reason = f"{kind} {token.text!r} already has a rule in line {line}"
-            self.fault(number, token.column, reason)
+            self.add_fault(number, token.column, reason)
 
     def _read_fields(
         self, number: int, tokens: list[_Token], kind: Kind
     ) -> dict[str, object]:
         values: dict[str, object] = {}
         for token in tokens:
-            key, equals, text = token.text.partition("=")
+            key, separator, text = token.text.partition("=")
             field = kind.fields.get(key)
             reason = ""
             if field is None:
                 known = ", ".join(kind.fields)
                 reason = f"unknown field {shorten(key)}; known: {known}"
-            elif not equals:
+            elif not separator:
                 reason = f"field {key!r} has no value"
             elif field.attribute in values:
                 reason = f"field {key!r} is given twice"
             if reason:
-                self.fault(number, token.column, reason)
+                self.add_fault(number, token.column, reason)
                 continue
-            place = _Token(text, token.column + len(key) + 1)
-            value = self._convert(number, place, text, field.read)
+            value_token = _Token(text, token.column + len(key) + 1)
+            value = self._convert(number, value_token, text, field.parse)
             values[field.attribute] = value
             if value is not None:
-                self._note_value(number, place, key, value)
+                self._register_value(number, value_token, key, value)
         return values
 
     def _convert(
@@ -180,30 +182,32 @@
         number: int,
         token: _Token,
         text: str,
-        read: Callable[[str], object],
+        parse_value: Callable[[str], object],
     ) -> object | None:
         try:
-            return read(text)
+            return parse_value(text)
         except InvalidValueError as exc:
-            self.fault(number, token.column + exc.offset, exc.reason)
+            self.add_fault(number, token.column + exc.offset, exc.reason)
             return None
 
-    def _note_value(
+    def _register_value(
         self, number: int, token: _Token, key: str, value: object
     ) -> None:
         if key == "key":
             line = self._digests.setdefault(value, number)
             if line != number:
                 reason = f"the customer in line {line} has the same key"
-                self.fault(number, token.column, reason)
+                self.add_fault(number, token.column, reason)
         if key == "models":
             column = token.column
             for model in value:
-                self._uses.append(_ModelUse(model, number, column))
+                self._model_references.append(
+                    _ModelReference(model, number, column)
+                )
                 column += len(model) + 1
 
 
-def _lines(text: str) -> list[str]:
+def _split_lines(text: str) -> list[str]:
     # str.splitlines would also break at form feeds and Unicode separators,
     # and line numbers would then differ from those in editors.
     return [line.removesuffix("\r") for line in text.split("\n")]
@@ -296,16 +300,18 @@
 
 def diff_rules(old: Rules, new: Rules) -> tuple[RuleChange, ...]:
     """Lists what differs, by kind and name; order in the files is ignored."""
-    before, after = _by_name(old), _by_name(new)
+    before, after = _index_by_name(old), _index_by_name(new)
     order = list(KINDS)
     names = sorted(
         before.keys() | after.keys(), key=lambda k: (order.index(k[0]), k[1])
     )
-    changes = (_compare(*key, before.get(key), after.get(key)) for key in names)
+    changes = (
+        _compare_rules(*key, before.get(key), after.get(key)) for key in names
+    )
     return tuple(change for change in changes if change is not None)
 
 
-def _by_name(rules: Rules) -> dict[tuple[str, str], Rule]:
+def _index_by_name(rules: Rules) -> dict[tuple[str, str], Rule]:
     groups = (rules.customers, rules.models, rules.services)
     return {
         (kind, rule.name): rule
@@ -314,10 +320,10 @@
     }
 
 
-def _compare(
+def _compare_rules(
     kind: str, name: str, old: Rule | None, new: Rule | None
 ) -> RuleChange | None:
-    before, after = _texts(kind, old), _texts(kind, new)
+    before, after = _format_fields(kind, old), _format_fields(kind, new)
     fields = tuple(
         FieldChange(key, before.get(key, ""), after.get(key, ""))
         for key in (*KINDS[kind].fields, "asked by")
@@ -331,13 +337,13 @@
     )
 
 
-def _texts(kind: str, rule: Rule | None) -> dict[str, str]:
+def _format_fields(kind: str, rule: Rule | None) -> dict[str, str]:
     """Returns the fields of a rule that differ from their defaults."""
     if rule is None:
         return {}
     defaults = {a.name: a.default for a in attrs.fields(type(rule))}
     found = {
-        key: field.write(getattr(rule, field.attribute))
+        key: field.format(getattr(rule, field.attribute))
         for key, field in KINDS[kind].fields.items()
         if getattr(rule, field.attribute) != defaults[field.attribute]
     }
@@ -350,8 +356,8 @@
 
 
 def _format_lines(rules: Rules) -> Iterator[str]:
-    for (kind, name), rule in _by_name(rules).items():
-        texts = _texts(kind, rule)
+    for (kind, name), rule in _index_by_name(rules).items():
+        texts = _format_fields(kind, rule)
         asked_by = texts.pop("asked by")
         fields = (f"{key}={value}" for key, value in texts.items())
         yield f"{' '.join((kind, name, *fields))}  # asked by {asked_by}"
