--- a/features/steps/heavy_load_steps.py
+++ b/features/steps/heavy_load_steps.py
@@ -8,7 +8,7 @@
 from knapweedarch.endpoint_choice import ChoiceConfig, EndpointChooser
 from knapweedarch.load_totals import LoadAggregator
 from knapweedarch.models import Endpoint, EndpointKind
-from knapweedarch.process_stops import StopWatcher
+from knapweedarch.process_pauses import PauseDetector
 from knapweedarch.prompt_parts import Prompt, PromptPart
 from knapweedarch.repeat_budget import RepeatLimits, RetryBudget
 from knapweedarch.stored_parts import (
@@ -396,7 +396,7 @@
 def calling_timers(context, period):
     context.clock, context.stops = ManualClock(NOW), []
     context.timers = Timers(context.clock)
-    StopWatcher(context.timers, context.stops.append)
+    PauseDetector(context.timers, context.stops.append)
     context.period = period
 
 
--- a/knapweedarch/__init__.py
+++ b/knapweedarch/__init__.py
@@ -4,7 +4,7 @@
 
 __version__ = "0.1.0"
 __all__ = ["KnapweedarchError"]
-_VERBS = ("load", "serve", "apply", "announce", "retire", "status")
+_API_FUNCTIONS = ("load", "serve", "apply", "announce", "retire", "status")
 
 
 def __getattr__(name: str):
@@ -12,7 +12,7 @@
 
     The core modules are imported without the ones that do input and output.
     """
-    if name not in _VERBS:
+    if name not in _API_FUNCTIONS:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     from knapweedarch import api
 
--- a/knapweedarch/daemon.py
+++ b/knapweedarch/daemon.py
@@ -13,7 +13,11 @@
 from knapweedarch.logs import log, setup_logging
 from knapweedarch.metrics import Metrics, create_metrics
 from knapweedarch.metrics_server import serve_metrics
-from knapweedarch.process import refuse_settings, run_process, stop_on_signal
+from knapweedarch.process import (
+    exit_with_settings_errors,
+    run_process,
+    stop_on_signal,
+)
 from knapweedarch.settings import (
     MemberSettings,
     RouterSettings,
@@ -34,7 +38,7 @@
         if isinstance(loaded, ToolSettings):
             raise SettingsError(["role: 'tool' is not a role of the daemon"])
     except SettingsError as exc:
-        refuse_settings(exc)
+        exit_with_settings_errors(exc)
     setup_logging(loaded.log_level)
     run_process(run, loaded)
 
@@ -46,7 +50,7 @@
         JournalError: The journal of a member failed; nothing more is answered.
     """
     clock = Clock()
-    metrics = _metrics(settings)
+    metrics = _create_metrics(settings)
     match settings:
         case MemberSettings():
             daemon = await member.open_member(settings, clock, metrics)
@@ -55,7 +59,7 @@
     async with anyio.create_task_group() as group:
         if isinstance(daemon, member.Member):
             group.start_soon(stop_on_signal, daemon, group.cancel_scope)
-        port = await group.start(_run_to_end, daemon, group.cancel_scope)
+        port = await group.start(_run_role, daemon, group.cancel_scope)
         if settings.metrics is not None:
             await group.start(serve_metrics, metrics, settings.metrics, clock)
         log("started", role=settings.role, name=settings.name, port=port)
@@ -63,7 +67,7 @@
         print(f"ready {port}", flush=True)
 
 
-async def _run_to_end(
+async def _run_role(
     daemon: member.Member | router.Router,
     scope: anyio.CancelScope,
     *,
@@ -74,7 +78,7 @@
     scope.cancel()
 
 
-def _metrics(settings: MemberSettings | RouterSettings) -> Metrics:
+def _create_metrics(settings: MemberSettings | RouterSettings) -> Metrics:
     address = settings.statsd
     if address is None:
         return create_metrics(None, 0, settings.name)
--- a/knapweedarch/member.py
+++ b/knapweedarch/member.py
@@ -18,8 +18,8 @@
 from knapweedarch.leader import Leader
 from knapweedarch.logs import log
 from knapweedarch.metrics import Metrics
+from knapweedarch.process_pauses import PauseDetector
 from knapweedarch.process_start import STARTED_AT_S
-from knapweedarch.process_stops import StopWatcher
 from knapweedarch.settings import Address, MemberSettings, seed_addresses
 from knapweedarch.state import ControlState
 from knapweedarch.timers import Clock, Timers
@@ -95,7 +95,7 @@
         )
         self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
         self._timers.every(TICK_S, lambda now: self._work.set())
-        StopWatcher(self._timers)
+        PauseDetector(self._timers)
         self._timers.every(METRICS_INTERVAL_S, self._report_metrics)
         self._timers.every(SILENCE_CHECK_INTERVAL_S, self._check_silence)
         self._timers.every(
--- a/knapweedarch/process.py
+++ b/knapweedarch/process.py
@@ -15,7 +15,7 @@
 EXIT_JOURNAL = 3
 
 
-def refuse_settings(exc: SettingsError) -> NoReturn:
+def exit_with_settings_errors(exc: SettingsError) -> NoReturn:
     """Ends the process with all faults of its settings."""
     print("\n".join(exc.faults), file=sys.stderr)
     sys.exit(EXIT_SETTINGS)
@@ -33,11 +33,11 @@
         sys.exit(EXIT_JOURNAL)
 
 
-async def stop_on_signal(stopping: Member, scope: anyio.CancelScope) -> None:
+async def stop_on_signal(member: Member, scope: anyio.CancelScope) -> None:
     """Stops a member; everything it answered is already synced."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
-            await stopping.prepare_stop()
+            await member.prepare_stop()
             log("stopped")
             scope.cancel()
             return
--- a/knapweedarch/process_stops.py
+++ b/knapweedarch/process_pauses.py
@@ -8,12 +8,12 @@
 from knapweedarch.logs import log
 from knapweedarch.timers import Timers
 
-CHECK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 # A timer that is later than this tells of a stop and not of a busy process.
-STOPPED_S = 0.5
+PAUSE_THRESHOLD_S = 0.5
 
 
-class StopWatcher:
+class PauseDetector:
     """Compares when a timer is called with when it was due.
 
     Args:
@@ -24,15 +24,15 @@
     def __init__(
         self,
         timers: Timers,
-        on_stopped: Callable[[float], None] = lambda pause_s: None,
+        on_pause: Callable[[float], None] = lambda pause_s: None,
     ):
-        self._on_stopped = on_stopped
-        self._ran_at = timers.clock.now()
-        timers.every(CHECK_S, self._check)
+        self._on_pause = on_pause
+        self._last_check = timers.clock.now()
+        timers.every(CHECK_INTERVAL_S, self._check)
 
     def _check(self, now: float) -> None:
-        pause_s = now - self._ran_at
-        self._ran_at = now
-        if pause_s > STOPPED_S:
+        pause_s = now - self._last_check
+        self._last_check = now
+        if pause_s > PAUSE_THRESHOLD_S:
             log("process_was_stopped", pause_ms=round(pause_s * 1000))
-            self._on_stopped(pause_s)
+            self._on_pause(pause_s)
--- a/knapweedarch/proxy.py
+++ b/knapweedarch/proxy.py
@@ -19,7 +19,7 @@
 from knapweedarch.logs import log
 from knapweedarch.metrics import Metrics
 from knapweedarch.models import Endpoint, EndpointKind, RefusalReason
-from knapweedarch.process_stops import StopWatcher
+from knapweedarch.process_pauses import PauseDetector
 from knapweedarch.proxy_attempts import Attempts
 from knapweedarch.proxy_gateway import ProxyGateway
 from knapweedarch.repeat_budget import RepeatLimits
@@ -135,7 +135,7 @@
         """Serves until SIGTERM, then drains and returns."""
         self._keeper.subscribe(self._timers)
         self._timers.every(DROP_STALE_INTERVAL_S, self._drop_stale)
-        StopWatcher(self._timers, self._attempts.chooser.exclude_pause)
+        PauseDetector(self._timers, self._attempts.chooser.exclude_pause)
         self._timers.every(LOADS_INTERVAL_S, self._send_loads)
         self._timers.every(GAUGES_INTERVAL_S, self._update_gauges)
         listen, ready = self._settings.listen, self._settings.ready
--- a/knapweedarch/settings.py
+++ b/knapweedarch/settings.py
@@ -26,7 +26,7 @@
 GROUP_SIZES = (1, 3, 5)
 CLASS_NAMES = tuple(priority.name.lower() for priority in Priority)
 CLASS_FILL_RANGE = (0.05, 10.0)
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,63}")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,63}")
 NAME_ALLOWED = "1 to 64 of A-Z a-z 0-9 _ -, starting with a letter or digit"
 
 
@@ -154,7 +154,7 @@
 Settings = MemberSettings | RouterSettings | ToolSettings
 
 
-def _is_ip(value: object) -> bool:
+def _is_ip_address(value: object) -> bool:
     try:
         ipaddress.ip_address(value if isinstance(value, str) else "")
     except ValueError:
@@ -162,25 +162,25 @@
     return True
 
 
-def _address(section: Section | None, lowest_port: int) -> Address | None:
+def _read_address(section: Section | None, min_port: int) -> Address | None:
     if section is None:
         return None
-    host = section.get("host", "an IP number", _is_ip)
-    port = section.integer("port", lowest_port, 65535)
-    section.finish()
+    host = section.get("host", "an IP number", _is_ip_address)
+    port = section.integer("port", min_port, 65535)
+    section.reject_unknown_keys()
     return Address(host, port)
 
 
-def _members(top: Section) -> tuple[MemberAddress, ...]:
+def _read_member_list(top: Section) -> tuple[MemberAddress, ...]:
     sizes = f"{', '.join(map(str, GROUP_SIZES[:-1]))} or {GROUP_SIZES[-1]}"
     allowed = f"a list of {sizes} objects with name, host and port"
     found = []
     sections = top.sections("members", allowed)
     if sections and len(sections) not in GROUP_SIZES:
-        top.fault("members", f"{len(sections)} objects", allowed)
+        top.add_fault("members", f"{len(sections)} objects", allowed)
     for section in sections:
-        name = section.text("name", NAME, NAME_ALLOWED)
-        address = _address(section, 1)
+        name = section.text("name", NAME_PATTERN, NAME_ALLOWED)
+        address = _read_address(section, 1)
         found.append(MemberAddress(name, address.host, address.port))
     _check_distinct(top, found)
     return tuple(found)
@@ -188,13 +188,15 @@
 
 def _check_distinct(top: Section, found: list[MemberAddress]) -> None:
     names = [m.name for m in found if m.name]
-    places = [(m.host, m.port) for m in found if m.host and m.port]
-    for label, values in (("name", names), ("host and port", places)):
+    addresses = [(m.host, m.port) for m in found if m.host and m.port]
+    for label, values in (("name", names), ("host and port", addresses)):
         if len(set(values)) != len(values):
-            top.fault("members", f"two with one {label}", "no duplicates")
+            top.add_fault("members", f"two with one {label}", "no duplicates")
 
 
-def _credential(top: Section, key: str, folder: pathlib.Path) -> str | None:
+def _read_credential(
+    top: Section, key: str, folder: pathlib.Path
+) -> str | None:
     """Reads a secret given in place or as the name of a file."""
     low, high = MIN_CREDENTIAL_CHARACTERS, MAX_CREDENTIAL_CHARACTERS
     allowed = f"{low} to {high} characters without spaces"
@@ -204,42 +206,44 @@
         return top.text(key, pattern, allowed, secret=True)
     name = top.text(file_key, re.compile(".+"), "the name of a file")
     if top.has(key):
-        top.fault(key, f"given together with {file_key}", "one of the two")
+        top.add_fault(key, f"given together with {file_key}", "one of the two")
         top.get(key, allowed, lambda v: True)
     try:
         value = (folder / (name or "")).read_text("utf-8").strip()
     except (OSError, UnicodeDecodeError) as exc:
         reason = getattr(exc, "strerror", None) or "not UTF-8 text"
-        top.fault(file_key, f"{shorten(name)} ({reason})", "a readable file")
+        top.add_fault(
+            file_key, f"{shorten(name)} ({reason})", "a readable file"
+        )
         return None
     if not pattern.fullmatch(value):
-        top.fault(file_key, f"content of {shorten(name)}", allowed)
+        top.add_fault(file_key, f"content of {shorten(name)}", allowed)
     return value
 
 
-def _common(top: Section, folder: pathlib.Path) -> dict[str, object]:
+def _read_common(top: Section, folder: pathlib.Path) -> dict[str, object]:
     return {
-        "name": top.text("name", NAME, NAME_ALLOWED),
-        "data_centre": top.text("data_centre", NAME, NAME_ALLOWED),
-        "credential": _credential(top, "credential", folder),
-        "members": _members(top),
-        "statsd": _address(top.section("statsd", default=None), 1),
-        "metrics": _address(top.section("metrics", default=None), 0),
+        "name": top.text("name", NAME_PATTERN, NAME_ALLOWED),
+        "data_centre": top.text("data_centre", NAME_PATTERN, NAME_ALLOWED),
+        "credential": _read_credential(top, "credential", folder),
+        "members": _read_member_list(top),
+        "statsd": _read_address(top.section("statsd", default=None), 1),
+        "metrics": _read_address(top.section("metrics", default=None), 0),
         "log_level": top.get(
             "log_level",
             ", ".join(LEVELS),
             lambda v: isinstance(v, str) and v in LEVELS,
             default="info",
         ),
-        "listen": _address(top.section("listen"), 0),
+        "listen": _read_address(top.section("listen"), 0),
     }
 
 
 def _read_member(top: Section, folder: pathlib.Path) -> MemberSettings:
-    common = _common(top, folder)
+    common = _read_common(top, folder)
     names = [m.name for m in common["members"]]
     if names and common["name"] and common["name"] not in names:
-        top.fault("name", repr(common["name"]), f"one of members: {names}")
+        top.add_fault("name", repr(common["name"]), f"one of members: {names}")
     data_folder = top.text("data_folder", re.compile(".+"), "a folder name")
     return MemberSettings(
         **common,
@@ -250,21 +254,21 @@
     )
 
 
-def _distances(top: Section) -> dict[str, float]:
+def _read_distances(top: Section) -> dict[str, float]:
     section = top.section("distances_ms", default=None)
     if section is None:
         return {}
     found = {}
-    for key in section.names():
-        if NAME.fullmatch(key):
+    for key in section.list_keys():
+        if NAME_PATTERN.fullmatch(key):
             found[key] = section.number(key, 0, 10_000)
         else:
             section.get(key, "", lambda v: True)
-            section.fault(key, "a data centre's name", NAME_ALLOWED)
+            section.add_fault(key, "a data centre's name", NAME_ALLOWED)
     return found
 
 
-def _class_fill(top: Section) -> dict[str, float]:
+def _read_class_fill(top: Section) -> dict[str, float]:
     section = top.section("class_fill", default=None)
     if section is None:
         return {}
@@ -272,21 +276,23 @@
         name: section.number(name, *CLASS_FILL_RANGE, default=None)
         for name in CLASS_NAMES
     }
-    section.finish()
+    section.reject_unknown_keys()
     return {name: part for name, part in found.items() if part is not None}
 
 
 def _read_router(top: Section, folder: pathlib.Path) -> RouterSettings:
-    common = _common(top, folder)
-    endpoint_credential = _credential(top, "endpoint_credential", folder)
+    common = _read_common(top, folder)
+    endpoint_credential = _read_credential(top, "endpoint_credential", folder)
     if endpoint_credential and endpoint_credential == common["credential"]:
         # Endpoints could otherwise act as members or operators.
-        top.fault("endpoint_credential", "a copy of credential", "another one")
+        top.add_fault(
+            "endpoint_credential", "a copy of credential", "another one"
+        )
     return RouterSettings(
         **common,
         endpoint_credential=endpoint_credential,
-        distances_ms=_distances(top),
-        class_fill=_class_fill(top),
+        distances_ms=_read_distances(top),
+        class_fill=_read_class_fill(top),
         drain_s=top.number("drain_s", 0, 3600, default=120.0),
         prefill_tokens_s=top.number("prefill_tokens_s", 1, 1e7, default=2e4),
         request_s=top.number("request_s", 0.01, 3600, default=3.0),
@@ -300,8 +306,8 @@
 
 def _read_tool(top: Section, folder: pathlib.Path) -> ToolSettings:
     return ToolSettings(
-        credential=_credential(top, "credential", folder),
-        members=_members(top),
+        credential=_read_credential(top, "credential", folder),
+        members=_read_member_list(top),
     )
 
 
@@ -336,7 +342,7 @@
     if role is None:
         raise SettingsError([f"{path}: {fault}" for fault in faults])
     settings = _READERS[role](top, path.parent)
-    top.finish()
+    top.reject_unknown_keys()
     if faults:
         raise SettingsError([f"{path}: {fault}" for fault in faults])
     return settings
--- a/knapweedarch/settings_reader.py
+++ b/knapweedarch/settings_reader.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 _REQUIRED = object()
-_MAX_SHOWN = 60
+_MAX_SHOWN_CHARACTERS = 60
 
 
 class Section:
@@ -15,40 +15,42 @@
         self._values = values
         self._path = path
         self._faults = faults
-        self._known: set[str] = set()
+        self._known_keys: set[str] = set()
 
     def has(self, key: str) -> bool:
         """Tells whether the object has a key."""
         return key in self._values
 
-    def names(self) -> list[str]:
+    def list_keys(self) -> list[str]:
         """Returns the keys of the object."""
         return list(self._values)
 
-    def fault(self, key: str, seen: str, allowed: str) -> None:
+    def add_fault(self, key: str, seen: str, allowed: str) -> None:
         """Notes a fault of a value."""
-        self._faults.append(f"{self._join(key)}: {seen}; allowed: {allowed}")
+        self._faults.append(
+            f"{self._join_path(key)}: {seen}; allowed: {allowed}"
+        )
 
     def get(
         self,
         key: str,
         allowed: str,
-        accepts: Callable[[object], bool],
+        is_valid: Callable[[object], bool],
         default: object = _REQUIRED,
         secret: bool = False,
     ):
         """Returns a checked value; notes a fault and returns None if wrong."""
-        self._known.add(key)
+        self._known_keys.add(key)
         if key not in self._values:
             if default is not _REQUIRED:
                 return default
-            self.fault(key, "missing", allowed)
+            self.add_fault(key, "missing", allowed)
             return None
         value = self._values[key]
-        if accepts(value):
+        if is_valid(value):
             return value
         seen = "a value not shown" if secret else shorten(value)
-        self.fault(key, seen, allowed)
+        self.add_fault(key, seen, allowed)
         return None
 
     def text(self, key: str, pattern: re.Pattern, allowed: str, **options):
@@ -85,7 +87,7 @@
         )
         if value is None:
             return None
-        return Section(value, self._join(key), self._faults)
+        return Section(value, self._join_path(key), self._faults)
 
     def sections(self, key: str, allowed: str) -> "list[Section]":
         """Returns the objects of a list."""
@@ -98,17 +100,17 @@
             ),
         )
         return [
-            Section(item, f"{self._join(key)}[{i}]", self._faults)
+            Section(item, f"{self._join_path(key)}[{i}]", self._faults)
             for i, item in enumerate(values or [])
         ]
 
-    def finish(self) -> None:
+    def reject_unknown_keys(self) -> None:
         """Notes a fault for each key that no reader asked for."""
-        allowed = ", ".join(sorted(self._known))
-        for key in sorted(set(self._values) - self._known):
-            self.fault(key, "unknown key", allowed)
+        allowed = ", ".join(sorted(self._known_keys))
+        for key in sorted(set(self._values) - self._known_keys):
+            self.add_fault(key, "unknown key", allowed)
 
-    def _join(self, key: str) -> str:
+    def _join_path(self, key: str) -> str:
         return f"{self._path}.{key}" if self._path else key
 
 
@@ -119,6 +121,6 @@
 def shorten(value: object) -> str:
     """Formats a value for a message, cut to a bounded length."""
     seen = repr(value)
-    if len(seen) <= _MAX_SHOWN:
+    if len(seen) <= _MAX_SHOWN_CHARACTERS:
         return seen
-    return f"{seen[: _MAX_SHOWN - 3]}..."
+    return f"{seen[: _MAX_SHOWN_CHARACTERS - 3]}..."
--- a/knapweedarch/timers.py
+++ b/knapweedarch/timers.py
@@ -43,7 +43,7 @@
 
 
 @attrs.define(eq=False)
-class _Entry:
+class _Timer:
     callback: Callable[[float], None]
     period: float | None = None
     cancelled: bool = False
@@ -60,8 +60,8 @@
         self.clock = clock
         # Tuples compare without a call into Python; the count keeps the order
         # of equal times and spares the entries from being compared.
-        self._heap: list[tuple[float, int, _Entry]] = []
-        self._count = itertools.count()
+        self._heap: list[tuple[float, int, _Timer]] = []
+        self._sequence = itertools.count()
         self._changed = anyio.Event()
 
     def after(
@@ -77,17 +77,17 @@
         return self._add(period_s, period_s, callback)
 
     def _add(self, delay_s, period, callback) -> Callable[[], None]:
-        entry = _Entry(callback, period)
-        self._push(self.clock.now() + delay_s, entry)
+        timer = _Timer(callback, period)
+        self._push(self.clock.now() + delay_s, timer)
 
         def cancel() -> None:
-            entry.cancelled = True
+            timer.cancelled = True
 
         return cancel
 
-    def _push(self, due: float, entry: _Entry) -> None:
-        heapq.heappush(self._heap, (due, next(self._count), entry))
-        if self._heap[0][2] is entry:
+    def _push(self, due: float, timer: _Timer) -> None:
+        heapq.heappush(self._heap, (due, next(self._sequence), timer))
+        if self._heap[0][2] is timer:
             self._changed.set()
 
     def next_due(self) -> float | None:
@@ -101,12 +101,12 @@
         now = self.clock.now()
         fired = 0
         while (due := self.next_due()) is not None and due <= now:
-            _, _, entry = heapq.heappop(self._heap)
-            if entry.period is not None:
+            _, _, timer = heapq.heappop(self._heap)
+            if timer.period is not None:
                 # A late timer fires once and not once per missed period.
-                due += entry.period
-                self._push(due if due > now else now + entry.period, entry)
-            entry.callback(now)
+                due += timer.period
+                self._push(due if due > now else now + timer.period, timer)
+            timer.callback(now)
             fired += 1
         return fired
 
