--- a/features/steps/deployment_steps.py
+++ b/features/steps/deployment_steps.py
@@ -33,7 +33,7 @@
 TOKEN_MS = 10
 
 
-def ask_members(cluster, call):
+def call_members(cluster, call):
     """Runs one call against the control members."""
     members = [control.MemberAddress(**m) for m in cluster.members]
 
@@ -50,7 +50,7 @@
 def submit(cluster, command):
     """Submits an operator's command; returns result and seconds."""
     started = time.monotonic()
-    result = ask_members(
+    result = call_members(
         cluster, lambda client: client.submit(command, CHANGE_LIMIT_S)
     )
     return result, time.monotonic() - started
@@ -58,7 +58,7 @@
 
 def status(cluster):
     """Returns the leader's status."""
-    return ask_members(cluster, lambda client: client.status(10))
+    return call_members(cluster, lambda client: client.status(10))
 
 
 def chat(cluster, router, max_tokens=5, **options):
@@ -86,7 +86,7 @@
     )
 
 
-def desk_runs(cluster):
+def read_desk_runs(cluster):
     """Returns how often the desk ran each key."""
     return httpx.get(f"{cluster.url('desk-1')}/stats").json()["runs"]
 
@@ -97,7 +97,7 @@
 
 
 @given("a running deployment")
-def running_deployment(context):
+def start_deployment(context):
     cluster = context.cluster = Deployment()
     context.closing.append(lambda: cluster.__exit__(None, None, None))
     with concurrent.futures.ThreadPoolExecutor() as pool:
@@ -107,7 +107,7 @@
         start_all(pool, cluster.start_router, ("router-1", "router-2"))
         start_endpoints(pool, cluster)
     members = [control.MemberAddress(**m) for m in cluster.members]
-    ask_members(cluster, lambda client: client.form(members))
+    call_members(cluster, lambda client: client.form(members))
     submit(cluster, PutRules("setup", 0, BASE_RULES + CUSTOMER))
     for router in ("router-1", "router-2"):
         cluster.wait_ready(router)
@@ -137,14 +137,14 @@
 
 
 @given("{router} is frozen")
-def freeze(context, router):
+def freeze_process(context, router):
     if router == "the leader":
         router = context.frozen = status(context.cluster).leader
     context.cluster.signal(router, signal.SIGSTOP)
 
 
 @when("{count:d} requests are sent to {router} before it continues")
-def send_while_frozen(context, count, router):
+def send_to_frozen_router(context, count, router):
     """Sends requests that a frozen router finds when it wakes up.
 
     They reach it together with whatever else waits in its sockets, so that
@@ -154,13 +154,17 @@
     pool = concurrent.futures.ThreadPoolExecutor(count)
     context.closing.append(pool.shutdown)
     url = cluster.url(router)
-    before = connections(url)
-    context.waiting = [pool.submit(chat, cluster, router) for _ in range(count)]
-    cluster.wait_for("connections", lambda: connections(url) >= before + count)
+    before = count_connections(url)
+    context.waiting_requests = [
+        pool.submit(chat, cluster, router) for _ in range(count)
+    ]
+    cluster.wait_for(
+        "connections", lambda: count_connections(url) >= before + count
+    )
     cluster.signal(router, signal.SIGCONT)
 
 
-def connections(url):
+def count_connections(url):
     """Counts the open connections to a listener, from the kernel's table."""
     address = httpx.URL(url)
     parts = reversed(address.host.split("."))
@@ -171,32 +175,32 @@
 
 
 @when("the frozen leader continues")
-def thaw(context):
+def continue_leader(context):
     context.cluster.signal(context.frozen, signal.SIGCONT)
 
 
 @when("an operator applies rules without the customer")
-def apply_without_customer(context):
-    context.result, context.seconds = submit(
+def apply_rules_without_customer(context):
+    context.result, context.duration_s = submit(
         context.cluster, PutRules("without", 1, BASE_RULES)
     )
 
 
 @then("the change is in force within {bound:f} s")
-def in_force_within(context, bound):
+def check_in_force(context, bound):
     assert context.result.version == 2, context.result
-    assert context.seconds <= bound, context.seconds
+    assert context.duration_s <= bound, context.duration_s
 
 
 @then("none of them is served for the removed customer")
-def none_served(context):
-    for answer in [future.result() for future in context.waiting]:
+def check_none_served(context):
+    for answer in [future.result() for future in context.waiting_requests]:
         assert answer.status_code in (401, 503), answer.text
         assert answer.json()["error"]["outcome"] == "not_run"
 
 
 @then("{router} has applied the new rules within {bound:f} s")
-def rules_applied(context, router, bound):
+def check_rules_applied(context, router, bound):
     context.cluster.wait_for(
         "new rules",
         lambda: chat(context.cluster, router).status_code == 401,
@@ -207,7 +211,7 @@
 @then(
     "the status shows the new rules and no request is served for the customer"
 )
-def status_is_new(context):
+def check_new_rules(context):
     assert status(context.cluster).rules_version == 2
     for router in ("router-1", "router-2"):
         assert chat(context.cluster, router).status_code == 401
@@ -217,7 +221,7 @@
     "{count:d} deposits are sent, each through both routers, while the leader"
     " is killed"
 )
-def deposits_during_kill(context, count):
+def send_deposits_during_kill(context, count):
     cluster = context.cluster
     leader = status(cluster).leader
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
@@ -232,14 +236,14 @@
 
 
 @then("the desk ran no deposit twice")
-def none_twice(context):
-    runs = desk_runs(context.cluster)
+def check_no_deposit_twice(context):
+    runs = read_desk_runs(context.cluster)
     assert all(n == 1 for n in runs.values()), runs
 
 
 @then("every answered deposit was run exactly once")
-def answered_once(context):
-    runs = desk_runs(context.cluster)
+def check_answered_once(context):
+    runs = read_desk_runs(context.cluster)
     answered = {k for k, answer in context.answers if answer.is_success}
     assert answered, [a.text for _, a in context.answers]
     assert all(runs[key] == 1 for key in answered), runs
@@ -253,7 +257,7 @@
 
 
 @given("a deposit was taken through {router}")
-def deposit_taken(context, router):
+def take_deposit(context, router):
     context.first = deposit(context.cluster, router, "d1")
     assert context.first.is_success, context.first.text
 
@@ -281,7 +285,7 @@
 
 
 @then("{router} serves a chat request within {bound:f} s of its start")
-def serves_within(context, router, bound):
+def check_chat_after_restart(context, router, bound):
     context.cluster.wait_for(
         "chat", lambda: chat(context.cluster, router).is_success
     )
@@ -290,11 +294,11 @@
 
 
 @then("a resend of the deposit through {router} returns the first answer")
-def resend_same(context, router):
+def check_resend(context, router):
     context.cluster.wait_ready(router)
     again = deposit(context.cluster, router, "d1")
     assert again.content == context.first.content, again.text
-    assert desk_runs(context.cluster)["d1"] == 1
+    assert read_desk_runs(context.cluster)["d1"] == 1
 
 
 @when("a follower loses its disk and is replaced")
@@ -319,14 +323,14 @@
 
 
 @when("the other follower is killed")
-def kill_other(context):
+def kill_other_follower(context):
     context.cluster.kill(context.followers[1].name)
 
 
 @given("a stream of {tokens:d} tokens runs through {router}")
-def stream_runs(context, tokens, router):
-    whole = chat(context.cluster, router, tokens)
-    context.whole = whole.json()["choices"][0]["message"]["content"]
+def start_stream(context, tokens, router):
+    reference = chat(context.cluster, router, tokens)
+    context.expected_text = reference.json()["choices"][0]["message"]["content"]
     started = threading.Event()
     context.pool = concurrent.futures.ThreadPoolExecutor(1)
     context.closing.append(context.pool.shutdown)
@@ -363,45 +367,45 @@
 
 
 @when("{router} is stopped in the planned way")
-def planned_stop(context, router):
+def stop_router(context, router):
     context.exit_code = context.cluster.stop(router)
 
 
 @then("the stream is whole")
-def stream_whole(context):
+def check_stream(context):
     text, ended = context.stream.result(30)
     assert ended, text[-100:]
-    assert text == context.whole, (text, context.whole)
+    assert text == context.expected_text, (text, context.expected_text)
 
 
 @then("{router} exited with code {code:d}")
-def exited(context, router, code):
+def check_exit_code(context, router, code):
     assert context.exit_code == code, context.exit_code
 
 
 @when("an operator retires {endpoint}")
-def retire(context, endpoint):
+def retire_endpoint(context, endpoint):
     submit(context.cluster, Retire("retire-1", endpoint))
-    context.runs_before = runner_runs(context.cluster, endpoint)
+    context.runs_before = read_runner_runs(context.cluster, endpoint)
 
 
-def runner_runs(cluster, name):
+def read_runner_runs(cluster, name):
     """Returns how many requests a runner has run."""
     return httpx.get(f"{cluster.url(name)}/stats").json()["runs"]
 
 
 @then("{count:d} more requests through each router run elsewhere")
-def run_elsewhere(context, count):
+def check_runs_elsewhere(context, count):
     cluster = context.cluster
     for router in ("router-1", "router-2"):
         for _ in range(count):
             answer = chat(cluster, router)
             assert answer.is_success, answer.text
-    assert runner_runs(cluster, "runner-1") == context.runs_before
+    assert read_runner_runs(cluster, "runner-1") == context.runs_before
 
 
 @when("the runner that serves the stream is killed")
-def kill_serving(context):
+def kill_serving_runner(context):
     cluster = context.cluster
     serving = [
         name
@@ -413,7 +417,7 @@
 
 
 @given("a router whose control links pass a relay")
-def relayed_router(context):
+def start_relayed_router(context):
     cluster = context.cluster
     context.relays = [
         Relay(cluster.host, (m["host"], m["port"])) for m in cluster.members
@@ -429,13 +433,13 @@
 
 
 @when("the relay forgets its open connections")
-def relay_forgets(context):
+def silence_relays(context):
     assert sum(relay.silence() for relay in context.relays) > 0
     context.silenced_at = time.monotonic()
 
 
 @then("that router is ready again within {bound:f} s")
-def ready_again(context, bound):
+def check_ready_again(context, bound):
     # The lease outlives the silence only if a fresh link is opened in time,
     # so readiness is watched over the whole time.
     until = time.monotonic() + bound
@@ -447,19 +451,19 @@
 
 
 @when("the relay lets nothing through")
-def relay_cut(context):
+def cut_relays(context):
     for relay in context.relays:
         relay.cut(True)
 
 
 @when("the relay lets everything through")
-def relay_heal(context):
+def restore_relays(context):
     for relay in context.relays:
         relay.cut(False)
 
 
 @then("{count:d} requests to that router are refused as {reason}")
-def refused_as(context, count, reason):
+def check_refused(context, count, reason):
     for _ in range(count):
         answer = chat(context.cluster, "router-3")
         assert answer.status_code == 503, answer.text
@@ -470,29 +474,31 @@
 @when(
     "the rules name version {version} and requests go on through both routers"
 )
-def roll_out(context, version):
+def roll_out_weights(context, version):
     cluster = context.cluster
     stop = threading.Event()
     context.answers = []
 
-    def keep_asking(router):
+    def send_until_stopped(router):
         while not stop.is_set():
             context.answers.append(chat(cluster, router, 3))
 
     with concurrent.futures.ThreadPoolExecutor(2) as pool:
         for router in ("router-1", "router-2"):
-            pool.submit(keep_asking, router)
+            pool.submit(send_until_stopped, router)
         text = (BASE_RULES + CUSTOMER).replace("w1", version)
         submit(cluster, PutRules("roll-out", 1, text))
         started = time.monotonic()
         try:
-            cluster.wait_for("roll-out", lambda: versions(cluster) == {version})
+            cluster.wait_for(
+                "roll-out", lambda: read_weights_versions(cluster) == {version}
+            )
         finally:
             stop.set()
-        context.seconds = time.monotonic() - started
+        context.duration_s = time.monotonic() - started
 
 
-def versions(cluster):
+def read_weights_versions(cluster):
     """Returns the weights versions that the runners announce."""
     return {
         entry.endpoint.weights_version
@@ -502,20 +508,20 @@
 
 
 @then("every request was answered")
-def all_answered(context):
+def check_all_answered(context):
     assert context.answers
     failed = [a.text for a in context.answers if not a.is_success]
     assert not failed, failed
 
 
 @then("every runner announces {version} within {bound:f} s")
-def announced(context, version, bound):
-    assert versions(context.cluster) == {version}
-    assert context.seconds <= bound, context.seconds
+def check_announced(context, version, bound):
+    assert read_weights_versions(context.cluster) == {version}
+    assert context.duration_s <= bound, context.duration_s
 
 
 @given("a router that takes {count:d} requests at once")
-def small_router(context, count):
+def start_small_router(context, count):
     context.cluster.start_router("router-3", max_streams=count)
     context.cluster.wait_ready("router-3")
 
@@ -536,7 +542,7 @@
 
 
 @then("{whole:d} of them are whole and {refused:d} are refused as {reason}")
-def counted_answers(context, whole, refused, reason):
+def check_stream_results(context, whole, refused, reason):
     failed = [a for a in context.answers if not a.is_success]
     assert len(context.answers) - len(failed) == whole, context.answers
     assert len(failed) == refused, context.answers
@@ -547,11 +553,11 @@
 
 
 @then("it answered the balancer and took a deposit meanwhile")
-def probes_answered(context):
+def check_probes(context):
     assert context.probes and set(context.probes) == {200}, context.probes
 
 
-def balanced(cluster, ask):
+def send_balanced(cluster, send):
     """Sends a request as a balancer would: to a router that is ready."""
     while True:
         for router in ("router-1", "router-2"):
@@ -562,7 +568,7 @@
             except (KeyError, httpx.TransportError):
                 continue
             try:
-                return ask(cluster, router)
+                return send(cluster, router)
             except httpx.ConnectError:
                 # The router is down; nothing was sent to it.
                 continue
@@ -576,23 +582,23 @@
     cluster, stop = context.cluster, threading.Event()
     context.answers = []
 
-    def keep_asking(name):
+    def send_until_stopped(name):
         number = 0
         while not stop.is_set():
             number += 1
             key = f"{name}-{number}"
             context.answers += [
-                balanced(cluster, lambda c, r: chat(c, r, 20)),
-                balanced(cluster, lambda c, r, k=key: deposit(c, r, k)),
+                send_balanced(cluster, lambda c, r: chat(c, r, 20)),
+                send_balanced(cluster, lambda c, r, k=key: deposit(c, r, k)),
             ]
 
     with concurrent.futures.ThreadPoolExecutor(2) as pool:
-        asking = [pool.submit(keep_asking, name) for name in "ab"]
+        senders = [pool.submit(send_until_stopped, name) for name in "ab"]
         try:
             restart_in_turn(cluster)
         finally:
             stop.set()
-        for future in asking:
+        for future in senders:
             future.result()
 
 
@@ -618,13 +624,13 @@
 
 
 @then('they hold "{of_member}" and "{of_router}"')
-def pages_hold(context, of_member, of_router):
+def check_metrics_pages(context, of_member, of_router):
     for page, name in zip(context.pages, (of_member, of_router), strict=True):
         assert f"# TYPE {name} gauge" in page, page[:500]
 
 
 @then('the log of {name} holds JSON lines with "{event}"')
-def log_holds(context, name, event):
+def check_log(context, name, event):
     text = (context.cluster.folder / f"{name}.log").read_text()
     lines = [json.loads(x) for x in text.splitlines() if x.startswith("{")]
     assert event in {line["event_name"] for line in lines}
--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -20,13 +20,13 @@
 )
 
 
-def expand(text):
+def expand_digests(text):
     for name, digest in DIGESTS.items():
         text = text.replace(name, digest)
     return text
 
 
-def faults_of(text):
+def collect_faults(text):
     try:
         parse_rules(text, "test.rules")
     except RuleError as exc:
@@ -35,44 +35,44 @@
 
 
 @given("the rule file")
-def rule_file(context):
-    context.rule_text = expand(context.text)
+def set_rule_file(context):
+    context.rule_text = expand_digests(context.text)
 
 
 @given("the newer rule file")
-def newer_rule_file(context):
-    context.newer_text = expand(context.text)
+def set_newer_rule_file(context):
+    context.newer_text = expand_digests(context.text)
 
 
 @given("a rule file whose comment in line 1 holds U+2028 and U+000C in line 2")
-def file_with_separators(context):
+def set_file_with_separators(context):
     context.rule_text = "# \u2028\n# \x0c\nbad  # asked by A\n"
 
 
 @given("a rule file with CR LF line ends")
-def file_with_crlf(context):
+def set_file_with_crlf(context):
     context.rule_text = VALID.replace("\n", "\r\n")
 
 
 @given("a rule file with {number:d} lines")
-def file_with_lines(context, number):
+def set_file_with_lines(context, number):
     context.rule_text = "".join(
         f"model m{i}  # asked by T\n" for i in range(number)
     )
 
 
 @given("a rule file with {number:d} bytes")
-def file_with_bytes(context, number):
+def set_file_with_bytes(context, number):
     context.rule_text = "#" + "é" * ((number - 1) // 2)
 
 
 @given("a rule file with a line of {number:d}")
-def file_with_long_line(context, number):
+def set_file_with_long_line(context, number):
     context.rule_text = "#" * number
 
 
 @given("{number:d} damaged rule files from seed {seed:d}")
-def damaged_files(context, number, seed):
+def create_damaged_files(context, number, seed):
     rng = random.Random(seed)
     context.damaged = []
     for _ in range(number):
@@ -85,20 +85,22 @@
 
 
 @then("the rules are accepted")
-def accepted(context):
-    assert faults_of(context.rule_text) == [], faults_of(context.rule_text)[:5]
+def check_rules_accepted(context):
+    assert collect_faults(context.rule_text) == [], collect_faults(
+        context.rule_text
+    )[:5]
     context.rules = parse_rules(context.rule_text)
 
 
 @then("the rules are refused with exactly")
-def refused_exactly(context):
-    found = faults_of(context.rule_text)
+def check_exact_faults(context):
+    found = collect_faults(context.rule_text)
     assert found == context.text.split("\n"), "\n".join(found)
 
 
 @then('the rules are refused without "{text}"')
-def refused_without(context, text):
-    found = faults_of(context.rule_text)
+def check_value_not_repeated(context, text):
+    found = collect_faults(context.rule_text)
     assert found and text not in "\n".join(found), found
 
 
@@ -106,7 +108,7 @@
     'customer "{name}" has priority {priority}, rate {rate:f}, '
     'concurrent {concurrent:d}, share {share:f} and models "{models}"'
 )
-def customer_is(context, name, priority, rate, concurrent, share, models):
+def check_customer(context, name, priority, rate, concurrent, share, models):
     (rule,) = (c for c in context.rules.customers if c.name == name)
     seen = (rule.priority.name, rule.rate, rule.concurrent, rule.share)
     assert seen == (priority, rate, concurrent, share), rule
@@ -118,25 +120,25 @@
     'model "{name}" has version "{version}", first token {bound:f} s '
     'and was asked by "{asked_by}"'
 )
-def model_is(context, name, version, bound, asked_by):
+def check_model(context, name, version, bound, asked_by):
     (rule,) = (m for m in context.rules.models if m.name == name)
     seen = (rule.version, rule.first_token_s, rule.asked_by)
     assert seen == (version, bound, asked_by), rule
 
 
 @then('service "{name}" has once "{once}" and timeout {timeout:f} s')
-def service_is(context, name, once, timeout):
+def check_service(context, name, once, timeout):
     (rule,) = (s for s in context.rules.services if s.name == name)
     assert (",".join(rule.once), rule.timeout_s) == (once, timeout), rule
 
 
 @then("formatting the rules gives a file with the same rules")
-def same_after_formatting(context):
+def check_format_round_trip(context):
     assert parse_rules(format_rules(context.rules)) == context.rules
 
 
 @then("the differences are")
-def differences_are(context):
+def check_differences(context):
     changes = diff_rules(
         parse_rules(context.rule_text), parse_rules(context.newer_text)
     )
@@ -151,10 +153,10 @@
 
 
 @then("each is either the same after formatting or refused within its lines")
-def damaged_are_handled(context):
+def check_damaged_files(context):
     refused = 0
     for text in context.damaged:
-        if not (faults := faults_of(text)):
+        if not (faults := collect_faults(text)):
             rules = parse_rules(text)
             assert parse_rules(format_rules(rules)) == rules, text
             continue
@@ -170,7 +172,7 @@
 
 
 @given("a rule file with {count:d} customers")
-def large_file(context, count):
+def set_large_file(context, count):
     context.large_text = "".join(
         f"customer c{n} key=sha256:{n:064x}  # asked by T\n"
         for n in range(count)
@@ -179,17 +181,17 @@
 
 @when("it is parsed in steps")
 def parse_in_steps(context):
-    steps, context.count = parse_steps(context.large_text), 0
+    steps, context.step_count = parse_steps(context.large_text), 0
     while True:
         try:
             next(steps)
         except StopIteration as done:
             context.rules = done.value
             return
-        context.count += 1
+        context.step_count += 1
 
 
 @then("it takes at least {count:d} steps and gives the same rules")
-def same_rules(context, count):
-    assert context.count >= count, context.count
+def check_steps_and_rules(context, count):
+    assert context.step_count >= count, context.step_count
     assert context.rules == parse_rules(context.large_text)
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -20,13 +20,13 @@
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 
 
-def new_folder(context):
+def create_folder(context):
     folder = pathlib.Path(tempfile.mkdtemp(prefix="knapweedarch-"))
     context.add_cleanup(shutil.rmtree, folder)
     return folder
 
 
-def faults_of(path):
+def collect_faults(path):
     try:
         api.load(path)
     except SettingsError as exc:
@@ -35,55 +35,55 @@
 
 
 @given("the examples with their secrets in place")
-def examples(context):
-    context.folder = new_folder(context)
+def copy_examples(context):
+    context.folder = create_folder(context)
     shutil.copytree(ROOT / "examples", context.folder, dirs_exist_ok=True)
     for name in ("control.secret", "endpoint.secret"):
         (context.folder / name).write_text(f"{name}-0123456789\n")
 
 
 @then("examples/{file} loads as {settings}")
-def example_loads(context, file, settings):
+def check_example_settings(context, file, settings):
     assert type(api.load(context.folder / file)).__name__ == settings
 
 
 @then("examples/{file} is a correct rule file")
-def example_rules(context, file):
+def check_example_rules(context, file):
     assert parse_rules((ROOT / "examples" / file).read_text()).customers
 
 
 @given("the settings file")
-def settings_file(context):
-    context.path = new_folder(context) / "settings.json5"
+def write_settings_file(context):
+    context.path = create_folder(context) / "settings.json5"
     context.path.write_text(context.text)
 
 
 @then("the settings are refused with exactly")
-def settings_refused_exactly(context):
-    found = faults_of(context.path)
+def check_exact_faults(context):
+    found = collect_faults(context.path)
     assert found == context.text.split("\n"), "\n".join(found)
 
 
 @then('the settings are refused with "{fault}"')
-def settings_refused_with(context, fault):
-    found = faults_of(context.path)
+def check_fault(context, fault):
+    found = collect_faults(context.path)
     assert any(fault in text for text in found), found
 
 
 @then('no message contains "{text}"')
-def no_message_contains(context, text):
-    assert text not in "".join(faults_of(context.path))
+def check_not_in_messages(context, text):
+    assert text not in "".join(collect_faults(context.path))
 
 
 @then('the settings load without showing "{text}"')
-def load_without_showing(context, text):
+def check_secret_hidden(context, text):
     settings = api.load(context.path)
     assert settings.credential.startswith(text)
     assert text not in repr(settings)
 
 
 @then("serving with them is refused")
-def serving_refused(context):
+def check_serving_refused(context):
     try:
         api.serve(api.load(context.path))
     except SettingsError:
@@ -92,27 +92,27 @@
 
 
 @given('logs of level "{level}" go to memory')
-def logs_to_memory(context, level):
+def capture_logs(context, level):
     context.log_stream = io.StringIO()
     logs.setup_logging(level, context.log_stream)
 
 
 @when('event "{name}" is logged with version {version:d}')
-def event_logged(context, name, version):
+def log_event(context, name, version):
     logs.log(name, version=version)
 
 
 @then(
     'the only line has event {number:d}, name "{name}" and version {version:d}'
 )
-def only_line(context, number, name, version):
+def check_only_line(context, number, name, version):
     (line,) = map(json.loads, context.log_stream.getvalue().splitlines())
     seen = (line["event"], line["event_name"], line["fields"]["version"])
     assert seen == (number, name, version), line
     assert {"time", "level", "text"} <= line.keys(), line
 
 
-def fails_with_key_error(call, *arguments):
+def check_key_error(call, *arguments):
     try:
         call(*arguments)
     except KeyError:
@@ -121,18 +121,18 @@
 
 
 @then('logging event "{name}" fails')
-def logging_fails(context, name):
-    fails_with_key_error(logs.log, name)
+def check_logging_fails(context, name):
+    check_key_error(logs.log, name)
 
 
 @then("no two events share a number or a name")
-def events_distinct(context):
+def check_events_distinct(context):
     assert len({e.number for e in ALL_EVENTS}) == len(ALL_EVENTS)
     assert len({e.name for e in ALL_EVENTS}) == len(ALL_EVENTS)
 
 
 @given('metrics with prefix "{prefix}" and a statsd socket')
-def metrics_with_socket(context, prefix):
+def create_metrics_with_socket(context, prefix):
     context.statsd = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     context.statsd.bind(("127.0.0.1", 0))
     context.statsd.settimeout(5)
@@ -143,53 +143,53 @@
 
 
 @given("metrics without a statsd address")
-def metrics_in_process(context):
+def create_metrics_without_address(context):
     context.metrics = create_metrics(None, 0, "x")
 
 
 @when('counter "{name}" is raised by {number:d}')
-def counter_raised(context, name, number):
+def increment_counter(context, name, number):
     context.metrics.count(name, number)
 
 
 @when('gauge "{name}" is set to {value:d}')
-def gauge_set(context, name, value):
+def set_gauge(context, name, value):
     context.metrics.gauge(name, value)
 
 
 @then('the socket receives "{first}" and "{second}"')
-def socket_receives(context, first, second):
+def check_received(context, first, second):
     received = {context.statsd.recv(1000).decode() for _ in range(2)}
     assert received == {first, second}, received
 
 
 @then('the count of "{name}" in process is {number:d}')
-def count_in_process(context, name, number):
+def check_count(context, name, number):
     assert context.metrics.counts[name] == number
 
 
 @then('raising counter "{name}" fails')
-def raising_fails(context, name):
-    fails_with_key_error(context.metrics.count, name)
+def check_count_fails(context, name):
+    check_key_error(context.metrics.count, name)
 
 
 @then("each refusal and retry reason has a counter")
-def reasons_have_counters(context):
+def check_reason_counters(context):
     wanted = {f"refused.{reason.value}" for reason in RefusalReason}
     wanted |= {f"retried.{reason.value}" for reason in RetryReason}
     assert wanted <= METRICS.keys()
 
 
 @given('a package that logs "{event}" and counts "{metric}"')
-def package_with_faults(context, event, metric):
-    context.package = new_folder(context)
+def create_package(context, event, metric):
+    context.package = create_folder(context)
     (context.package / "bad.py").write_text(
         f'log("{event}")\nself._metrics.count("{metric}")\n"x".count("y")\n'
     )
 
 
 @then("the check of catalogues names both places")
-def catalogues_name_places(context):
+def check_catalogue_faults(context):
     script = ROOT / "scripts" / "check_catalogues.py"
     spec = importlib.util.spec_from_file_location("check_catalogues", script)
     module = importlib.util.module_from_spec(spec)
