--- a/features/rules.feature
+++ b/features/rules.feature
@@ -43,7 +43,7 @@
       test.rules:2:96: field 'rate' is given twice
       test.rules:2:103: unknown field 'foo'; known: key, class, rate, concurrent, share, models
       test.rules:3:10: customer 'b' already has a rule in line 2
-      test.rules:3:16: the value is not sha256: and 64 hexadecimal digits
+      test.rules:3:16: the value is not sha256: followed by 64 hexadecimal digits
       test.rules:3:19: '# asked by NAME' is missing
       test.rules:4:1: unknown kind 'modle'; known: customer, model, service
       test.rules:4:8: '# asked by NAME' is missing
@@ -57,7 +57,7 @@
       test.rules:8:1: field 'key' is missing
       test.rules:9:12: field 'key' has no value
       test.rules:10:6: the model has no name
-      test.rules:11:99: '1.5' is not a whole number from 0 to 100000
+      test.rules:11:99: '1.5' is not an integer from 0 to 100000
       test.rules:11:109: 'vip' is not one of availability, guest, interactive, batch
       test.rules:12:16: '/a//b' is not a path such as /deposits or /shop/orders
       test.rules:13:16: '/deposits/' is not a path such as /deposits or /shop/orders
@@ -95,7 +95,7 @@
     Examples:
       | what                   | fault                                |
       | 20001 lines            | 20001:1: more than 20000 lines       |
-      | 2097153 bytes          | 1:1: 2097153 bytes are more than 2097152 |
+      | 2097153 bytes          | 1:1: 2097153 bytes exceed the limit of 2097152 |
       | a line of 4097         | 1:4097: more than 4096 characters    |
 
   Scenario: A file of the largest size is accepted
--- a/knapweedarch/exceptions.py
+++ b/knapweedarch/exceptions.py
@@ -1,15 +1,15 @@
-"""Exception tree; every error of the package has one root."""
+"""Exceptions of the package; all derive from `KnapweedarchError`."""
 
 
 class KnapweedarchError(Exception):
-    """Root of all errors raised by this package."""
+    """Base class of all errors raised by this package."""
 
 
 class SettingsError(KnapweedarchError):
     """Settings are missing, malformed or out of range.
 
     Attributes:
-        faults: One text per fault, each with path, value and what is allowed.
+        faults: One message per fault, with path, value and allowed values.
     """
 
     def __init__(self, faults: list[str]):
@@ -18,10 +18,10 @@
 
 
 class RuleError(KnapweedarchError):
-    """A rule file is refused.
+    """A rule file is invalid.
 
     Attributes:
-        faults: One text per fault: file, line, column and reason.
+        faults: One message per fault, with file, line, column and reason.
     """
 
     def __init__(self, faults: list[str]):
@@ -30,10 +30,10 @@
 
 
 class DeploymentError(KnapweedarchError):
-    """A routing configuration is refused.
+    """A deployment configuration is invalid.
 
     Attributes:
-        faults: One text per fault.
+        faults: One message per fault.
     """
 
     def __init__(self, faults: list[str]):
@@ -42,26 +42,26 @@
 
 
 class CodecError(KnapweedarchError):
-    """Bytes do not decode to a known message."""
+    """Data cannot be decoded as a known message."""
 
 
 class JournalError(KnapweedarchError):
-    """A file operation failed or a file is corrupt; the process must stop."""
+    """A file operation failed or a file is corrupt; the process must exit."""
 
 
 class JournalFullError(JournalError):
-    """The disk has no room to open the journal; it may be tried again."""
+    """The disk is too full to open the journal; opening it may be retried."""
 
 
 class ReplicaError(KnapweedarchError):
-    """Root of the errors of the replicated log."""
+    """Base class of errors of the replicated log."""
 
 
 class NotLeaderError(ReplicaError):
     """The replica cannot accept a proposal.
 
     Attributes:
-        leader: Name of the leader if known.
+        leader: Name of the leader, or None if it is unknown.
     """
 
     def __init__(self, leader: str | None):
@@ -70,19 +70,19 @@
 
 
 class MembershipError(ReplicaError):
-    """A membership change is not possible now."""
+    """The membership cannot be changed in the current state."""
 
 
 class LinkError(KnapweedarchError):
-    """A link between two processes failed, timed out or was refused."""
+    """A link between two processes failed, timed out or was rejected."""
 
 
 class CredentialError(LinkError):
-    """The other end of a link does not hold the shared credential."""
+    """The peer of a link failed to prove that it has the shared credential."""
 
 
 class ControlError(KnapweedarchError):
-    """The control members refused or did not answer an order.
+    """The control members rejected a command or did not answer it.
 
     Attributes:
         reason: Machine-readable reason.
@@ -98,7 +98,7 @@
 
     Attributes:
         reason: A value of `models.RetryReason`.
-        written: Whether any byte of the request may have left this process.
+        written: Whether any byte of the request may have been sent.
     """
 
     def __init__(self, reason: str, message: str = "", written: bool = True):
@@ -108,11 +108,11 @@
 
 
 class ExchangeError(KnapweedarchError):
-    """An exchange with an endpoint brought no whole answer.
+    """An HTTP exchange with an endpoint yielded no complete answer.
 
     Attributes:
-        reason: Why.
-        written: Whether any byte of the request may have left this process.
+        reason: Machine-readable reason.
+        written: Whether any byte of the request may have been sent.
     """
 
     def __init__(self, reason: str, message: str, written: bool):
@@ -122,8 +122,8 @@
 
 
 class CallerGoneError(KnapweedarchError):
-    """The caller closed its connection before the whole answer."""
+    """The caller closed its connection before the answer was complete."""
 
 
 class RequestIdError(KnapweedarchError):
-    """A request id was created for another order."""
+    """A request id belongs to a different command."""
--- a/knapweedarch/rule_files.py
+++ b/knapweedarch/rule_files.py
@@ -1,9 +1,10 @@
-"""Rule files on an operator's disk and the versions they are based on.
+"""Rule files on an operator's disk, and the versions they are based on.
 
-Beside a rule file `FILE`, `FILE.base` holds the version of the rules in force
-that the file was last compared with or accepted as. An order names this base,
-and the members refuse it if the rules have changed since: two operators who
-edit copies of one version cannot undo each other's change unseen.
+For a rule file `FILE`, `FILE.base` stores the version of the active rules that
+the file was last compared with or accepted as. A command to change the rules
+includes this base version, and the members reject it if the rules have changed
+since. Operators who edit copies of the same version therefore cannot overwrite
+each other's changes unnoticed.
 """
 
 import os
@@ -18,16 +19,16 @@
 
 
 def read_rules_text(path: str | pathlib.Path) -> str:
-    """Reads and checks a rule file; returns its text.
+    """Reads and validates a rule file; returns its text.
 
     Raises:
-        RuleError: The file is unreadable, faulty or without any rule.
+        RuleError: The file cannot be read, is invalid or has no rules.
     """
     text = _read_text(pathlib.Path(path))
     rules = parse_rules(text, str(path))
     if not (rules.customers or rules.models or rules.services):
-        # An empty file is most often one cut off by a full disk or a mistyped
-        # redirection; in force, it would lock out every customer.
+        # An empty file is usually the result of a full disk or a mistyped
+        # redirection; if applied, it would lock out every customer.
         raise RuleError([f"{path}:1:1: the file holds no rule"])
     return text
 
@@ -56,10 +57,11 @@
 def read_base_version(path: str | pathlib.Path) -> int:
     """Returns the version that a rule file is based on.
 
-    It is 0 if none is noted, which fits only the first file of a deployment.
+    Returns 0 if no version is stored, which is valid only for the first rule
+    file of a deployment.
 
     Raises:
-        RuleError: The note is unreadable.
+        RuleError: The base file is unreadable or has no valid version.
     """
     base = _base_path(path)
     try:
@@ -74,10 +76,10 @@
 
 
 def write_base_version(path: str | pathlib.Path, version: int) -> bool:
-    """Notes the version that a rule file is based on.
+    """Stores the version that a rule file is based on.
 
     Returns:
-        Whether the note could be written.
+        Whether the base file could be written.
     """
     base = _base_path(path)
     temporary = pathlib.Path(f"{base}.new")
--- a/knapweedarch/rule_kinds.py
+++ b/knapweedarch/rule_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of rules and their fields, with the limits of each value."""
+"""Kinds of rules, their fields, and the range of each value."""
 
 import re
 from collections.abc import Callable
@@ -23,15 +23,15 @@
 _VERSION = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
 _KEY = re.compile(r"sha256:([0-9a-fA-F]{64})")
 _NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?")
-# Callers' paths are compared without empty or dotted segments, so a prefix
-# with one would never match, and /deposits/ would not cover /deposits itself;
-# calls that the operator meant to protect could then run twice.
+# Request paths are matched without empty or dot segments. A prefix with such a
+# segment would never match, and /deposits/ would not match /deposits itself, so
+# calls that the operator meant to protect could run twice.
 _PATH = re.compile(r"/|(?=.{1,256}$)(/(?!\.{1,2}(/|$))[A-Za-z0-9._~-]+)+")
 Rule = CustomerRule | ModelRule | ServiceRule
 
 
 class InvalidValueError(Exception):
-    """A value is refused; `offset` is where in the value, from 0."""
+    """A value is invalid; `offset` is the position of the fault, from 0."""
 
     def __init__(self, reason: str, offset: int = 0):
         self.reason = reason
@@ -41,13 +41,13 @@
 
 @attrs.frozen
 class Field:
-    """A field that a kind of rule accepts.
+    """A field of a kind of rule.
 
     Attributes:
-        attribute: Attribute of the rule class.
-        read: Converts the text; raises `InvalidValueError`.
-        write: Converts back.
-        required: Whether a rule without it is refused.
+        attribute: Name of the attribute in the rule class.
+        parse: Converts text to a value; raises `InvalidValueError`.
+        format: Converts a value to text.
+        required: Whether every rule of this kind must set the field.
     """
 
     attribute: str
@@ -58,14 +58,14 @@
 
 @attrs.frozen
 class Kind:
-    """A kind of rule: how to create one and its fields by key."""
+    """A kind of rule: its class, and its fields by key."""
 
     rule_class: type
     fields: dict[str, Field]
 
 
 def shorten(text: str) -> str:
-    """Quotes a text of the file for a message."""
+    """Quotes a text for an error message, truncated to 40 characters."""
     return repr(text if len(text) <= 40 else f"{text[:37]}...")
 
 
@@ -88,7 +88,7 @@
             low <= int(text) <= high
         ):
             raise InvalidValueError(
-                f"{shorten(text)} is not a whole number from {low} to {high}"
+                f"{shorten(text)} is not an integer from {low} to {high}"
             )
         return int(text)
 
@@ -128,9 +128,9 @@
 def _parse_key_digest(text: str) -> str:
     found = _KEY.fullmatch(text)
     if not found:
-        # The value is not repeated: it may be an API key pasted in the clear.
+        # The message omits the value: it may be an API key in plain text.
         raise InvalidValueError(
-            "the value is not sha256: and 64 hexadecimal digits"
+            "the value is not sha256: followed by 64 hexadecimal digits"
         )
     return found[1].lower()
 
--- a/knapweedarch/rules.py
+++ b/knapweedarch/rules.py
@@ -1,7 +1,7 @@
-"""Rule files: parse, check, compare and format.
+"""Parses, validates, compares and formats rule files.
 
-A rule file holds one rule a line: a kind, a name, fields `key=value`, and a
-comment that tells who asked for the rule. Names are unique per kind. Blank
+A rule file has one rule per line: a kind, a name, fields as `key=value`, and a
+comment that names who requested the rule. Names are unique per kind. Blank
 lines and full-line comments are allowed.
 """
 
@@ -23,7 +23,8 @@
 )
 
 MAX_FILE_BYTES = 2 * 1024 * 1024
-# A line takes about 60 us, and tokens are 52 ms apart.
+# Parsing a line takes about 60 us, and the tokens of a stream are 52 ms apart;
+# a step must be short enough not to delay them.
 LINES_PER_STEP = 100
 MAX_LINES = 20_000
 MAX_LINE_CHARACTERS = 4_096
@@ -47,7 +48,7 @@
 
 @attrs.frozen
 class _ModelReference:
-    """A customer's mention of a model, checked once all models are known."""
+    """A model listed by a customer, checked after the whole file is parsed."""
 
     model: str
     line: int
@@ -55,23 +56,23 @@
 
 
 class _Parser:
-    """Parses one file and collects all its faults."""
+    """Parses one file and collects all faults."""
 
     def __init__(self):
         self.faults: list[_Fault] = []
         self._rules: dict[str, list[Rule]] = {kind: [] for kind in KINDS}
-        # Names and keys of faulty rules are noted as well, so that one fault
-        # does not cause others on other lines.
+        # Names and keys of invalid rules are registered as well, so that one
+        # fault does not cause others on other lines.
         self._names: dict[tuple[str, str], int] = {}
         self._digests: dict[str, int] = {}
         self._model_references: list[_ModelReference] = []
 
     def add_fault(self, line: int, column: int, reason: str) -> None:
-        """Notes a fault; columns count characters from 1."""
+        """Records a fault; columns are counted in characters from 1."""
         self.faults.append(_Fault(line, column, reason))
 
     def parse(self, text: str) -> Generator[None, None, Rules]:
-        """Parses the whole text in steps; faults are left in `faults`."""
+        """Parses the text in steps; adds all faults to `faults`."""
         for number, line in enumerate(_split_lines(text), 1):
             if self._has_rule(number, line):
                 self._parse_line(number, line)
@@ -84,7 +85,7 @@
         return Rules(*(tuple(self._rules[kind]) for kind in KINDS))
 
     def _has_rule(self, number: int, line: str) -> bool:
-        """Tells whether the line holds a rule, and refuses unreadable ones."""
+        """Returns whether a line has a rule; records faults of its text."""
         limit = MAX_LINE_CHARACTERS
         if len(line) > limit:
             self.add_fault(number, limit + 1, f"more than {limit} characters")
@@ -208,17 +209,17 @@
 
 
 def _split_lines(text: str) -> list[str]:
-    # str.splitlines would also break at form feeds and Unicode separators,
-    # and line numbers would then differ from those in editors.
+    # str.splitlines also splits at form feeds and Unicode separators, so its
+    # line numbers would differ from those in editors.
     return [line.removesuffix("\r") for line in text.split("\n")]
 
 
 def parse_rules(text: str, name: str = "rules") -> Rules:
-    """Parses and checks a rule file.
+    """Parses and validates a rule file.
 
     Args:
         text: Content of the file.
-        name: Name of the file in messages.
+        name: File name used in error messages.
 
     Raises:
         RuleError: See `parse_steps`.
@@ -232,23 +233,24 @@
 
 
 def parse_steps(text: str, name: str = "rules") -> Generator[None, None, Rules]:
-    """Parses and checks a rule file in steps of `LINES_PER_STEP` lines.
+    """Parses and validates a rule file in steps of `LINES_PER_STEP` lines.
 
-    A loop that also serves streams can go on with them between two steps.
+    An event loop can serve streams between two steps.
 
     Args:
         text: Content of the file.
-        name: Name of the file in messages.
+        name: File name used in error messages.
 
     Raises:
-        RuleError: With every fault as `file:line:column: reason`; lines and
-            columns count from 1, columns in characters.
+        RuleError: The file is invalid. Each fault has the form
+            `file:line:column: reason`; lines and columns are counted from 1,
+            columns in characters.
     """
     size = len(text.encode("utf-8", "surrogatepass"))
     if size > MAX_FILE_BYTES:
-        reason = f"{size} bytes are more than {MAX_FILE_BYTES}"
+        reason = f"{size} bytes exceed the limit of {MAX_FILE_BYTES}"
         raise RuleError([f"{name}:1:1: {reason}"])
-    # A line break at the end does not begin another line.
+    # A trailing line break does not start another line.
     if text.removesuffix("\n").count("\n") >= MAX_LINES:
         reason = f"more than {MAX_LINES} lines"
         raise RuleError([f"{name}:{MAX_LINES + 1}:1: {reason}"])
@@ -265,7 +267,7 @@
 
 
 class ChangeKind(str, enum.Enum):
-    """What happened to a rule."""
+    """How a rule differs between two rule files."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -274,7 +276,7 @@
 
 @attrs.frozen
 class FieldChange:
-    """A field whose value differs; an empty text means the default."""
+    """A field whose value differs; an empty string means the default."""
 
     field: str
     old: str
@@ -286,10 +288,11 @@
     """A difference between two rule files.
 
     Attributes:
-        change: What happened.
+        change: Whether the rule was added, removed or changed.
         kind: Kind of the rule.
         name: Name of the rule.
-        fields: Fields that differ; all that are set when added or removed.
+        fields: Changed fields; for an added or removed rule, all fields that
+            are set.
     """
 
     change: ChangeKind
@@ -299,7 +302,7 @@
 
 
 def diff_rules(old: Rules, new: Rules) -> tuple[RuleChange, ...]:
-    """Lists what differs, by kind and name; order in the files is ignored."""
+    """Lists the differences by kind and name, regardless of file order."""
     before, after = _index_by_name(old), _index_by_name(new)
     order = list(KINDS)
     names = sorted(
@@ -338,7 +341,7 @@
 
 
 def _format_fields(kind: str, rule: Rule | None) -> dict[str, str]:
-    """Returns the fields of a rule that differ from their defaults."""
+    """Formats the fields of a rule that differ from their defaults."""
     if rule is None:
         return {}
     defaults = {a.name: a.default for a in attrs.fields(type(rule))}
@@ -351,7 +354,7 @@
 
 
 def format_rules(rules: Rules) -> str:
-    """Formats rules as a file that parses to the same rules."""
+    """Formats rules as a rule file that parses to equal rules."""
     return "".join(f"{line}\n" for line in _format_lines(rules))
 
 
