--- a/features/settings.feature
+++ b/features/settings.feature
@@ -38,22 +38,22 @@
       """
       name: 'a b'; allowed: 1 to 64 of A-Z a-z 0-9 _ -, starting with a letter or digit
       data_centre: missing; allowed: 1 to 64 of A-Z a-z 0-9 _ -, starting with a letter or digit
-      credential: a value not shown; allowed: 16 to 1024 characters without spaces
+      credential: value not shown; allowed: 16 to 1024 characters without spaces
       members: 2 objects; allowed: a list of 1, 3 or 5 objects with name, host and port
-      members[0].host: 'localhost'; allowed: an IP number
-      members[0].port: 0; allowed: a whole number from 1 to 65535
+      members[0].host: 'localhost'; allowed: an IP address
+      members[0].port: 0; allowed: an integer from 1 to 65535
       members[0].zone: unknown key; allowed: host, name, port
-      members[1].port: missing; allowed: a whole number from 1 to 65535
-      members: two with one name; allowed: no duplicates
+      members[1].port: missing; allowed: an integer from 1 to 65535
+      members: duplicate name; allowed: no duplicates
       log_level: ['x']; allowed: debug, info, warning, error
-      listen.port: -1; allowed: a whole number from 0 to 65535
+      listen.port: -1; allowed: an integer from 0 to 65535
       endpoint_credential_file: 'none' (No such file or directory); allowed: a readable file
       distances_ms.a: -1; allowed: a number from 0 to 10000
       distances_ms.b c: a data centre's name; allowed: 1 to 64 of A-Z a-z 0-9 _ -, starting with a letter or digit
       class_fill.guest: 0; allowed: a number from 0.05 to 10
       class_fill.nobody: unknown key; allowed: availability, batch, guest, interactive
       drain_s: 'x'; allowed: a number from 0 to 3600
-      max_streams: True; allowed: a whole number from 1 to 100000
+      max_streams: True; allowed: an integer from 1 to 100000
       que_limit: unknown key; allowed: class_fill, credential, data_centre, distances_ms, drain_s, endpoint_credential_file, listen, log_level, max_body_bytes, max_streams, members, metrics, name, prefill_tokens_s, queue_limit, request_s, role, statsd
       """
 
--- a/knapweedarch/__init__.py
+++ b/knapweedarch/__init__.py
@@ -8,9 +8,9 @@
 
 
 def __getattr__(name: str):
-    """Finds a verb of `api` at its first use.
+    """Imports a function of `api` on first access.
 
-    The core modules are imported without the ones that do input and output.
+    Core modules can thus be imported without modules that do input and output.
     """
     if name not in _API_FUNCTIONS:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/knapweedarch/daemon.py
+++ b/knapweedarch/daemon.py
@@ -1,6 +1,6 @@
-"""Entry point of the daemon; one role per process."""
+"""Entry point of the daemon, which runs one role per process."""
 
-# Notes when the process started, so it comes first.
+# Imported first, because it records when the process started.
 import knapweedarch.process_start  # noqa: F401 isort: skip
 
 import pathlib
@@ -44,10 +44,11 @@
 
 
 async def run(settings: MemberSettings | RouterSettings) -> None:
-    """Runs the role that the settings name.
+    """Runs the role given by the settings.
 
     Raises:
-        JournalError: The journal of a member failed; nothing more is answered.
+        JournalError: The journal of a member failed; the member has stopped
+            answering requests.
     """
     clock = Clock()
     metrics = _create_metrics(settings)
@@ -63,7 +64,8 @@
         if settings.metrics is not None:
             await group.start(serve_metrics, metrics, settings.metrics, clock)
         log("started", role=settings.role, name=settings.name, port=port)
-        # Whoever starts the process reads the port that the kernel chose.
+        # The parent process reads this line to learn the port that the kernel
+        # chose.
         print(f"ready {port}", flush=True)
 
 
@@ -73,7 +75,7 @@
     *,
     task_status=anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Runs a role; what else the process serves ends with it."""
+    """Runs a role, then cancels the other tasks of the process."""
     await daemon.run(task_status=task_status)
     scope.cancel()
 
@@ -86,7 +88,7 @@
 
 
 def main() -> None:
-    """Parses the command line and serves."""
+    """Parses the command line and runs the daemon."""
     defopt.run(serve, cli_options="all")
 
 
--- a/knapweedarch/process.py
+++ b/knapweedarch/process.py
@@ -1,4 +1,4 @@
-"""What every process of the system does at its start and end."""
+"""Startup, signal handling and exit codes of all processes."""
 
 import signal
 import sys
@@ -16,7 +16,7 @@
 
 
 def exit_with_settings_errors(exc: SettingsError) -> NoReturn:
-    """Ends the process with all faults of its settings."""
+    """Prints all faults of the settings and exits the process."""
     print("\n".join(exc.faults), file=sys.stderr)
     sys.exit(EXIT_SETTINGS)
 
@@ -24,17 +24,21 @@
 def run_process(
     run: Callable[..., Awaitable[None]], *arguments: object
 ) -> None:
-    """Runs a role to its end; a failed journal ends the process."""
+    """Runs a role until it ends; exits with `EXIT_JOURNAL` if its log fails."""
     try:
         anyio.run(run, *arguments)
     except* (JournalError, ReplicaError) as group:
-        # A member that goes on after either could answer with what it lost.
+        # A member that continued after either error could answer with data that
+        # it did not store.
         log("journal_failed", reason=str(group.exceptions[0]))
         sys.exit(EXIT_JOURNAL)
 
 
 async def stop_on_signal(member: Member, scope: anyio.CancelScope) -> None:
-    """Stops a member; everything it answered is already synced."""
+    """Stops a member at SIGTERM or SIGINT.
+
+    All data that the member has acknowledged is already synced to disk.
+    """
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             await member.prepare_stop()
--- a/knapweedarch/process_pauses.py
+++ b/knapweedarch/process_pauses.py
@@ -1,6 +1,6 @@
-"""Notices that a process did not run for a while.
+"""Detects that the process was paused, for example by SIGSTOP.
 
-What it believes is as old as that; others may have acted meanwhile.
+After a pause, its view of other processes is out of date by that time.
 """
 
 from collections.abc import Callable
@@ -9,16 +9,17 @@
 from knapweedarch.timers import Timers
 
 CHECK_INTERVAL_S = 0.1
-# A timer that is later than this tells of a stop and not of a busy process.
+# A busy process delays timers too, but by less than this.
 PAUSE_THRESHOLD_S = 0.5
 
 
 class PauseDetector:
-    """Compares when a timer is called with when it was due.
+    """Measures the time between calls of a periodic timer.
 
     Args:
         timers: Timers of the process.
-        on_stopped: Called with the length of a stop in seconds.
+        on_pause: Called with the time between two calls, in seconds, if it
+            exceeds `PAUSE_THRESHOLD_S`.
     """
 
     def __init__(
--- a/knapweedarch/settings.py
+++ b/knapweedarch/settings.py
@@ -1,8 +1,8 @@
-"""Settings files: JSON with comments, checked as a whole.
+"""Reads and validates settings files in JSON5 format.
 
-Every fault of a file is reported at once, each with the path of the setting,
-the value seen and what is allowed. Unknown keys are refused, since a misspelt
-optional key would otherwise be ignored without a word.
+All faults of a file are reported together, each with the path of the setting,
+its value and the allowed values. Unknown keys are rejected, because a
+misspelled optional key would otherwise be silently ignored.
 """
 
 import ipaddress
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -41,7 +41,7 @@
 def seed_addresses(
     seeds: Iterable[Address],
 ) -> tuple[MemberAddress, ...]:
-    """Returns addresses for members whose names are not known yet."""
+    """Returns addresses for seed members whose names are not yet known."""
     return tuple(
         MemberAddress(f"{s.host}:{s.port}", s.host, s.port) for s in seeds
     )
@@ -53,22 +53,24 @@
 
     Attributes:
         role: Always `member`.
-        name: Name of this member; one of `members`.
+        name: Name of this member; must be in `members`.
         data_centre: Data centre of the instance.
         credential: Secret shared by the system's own processes and operators.
         members: All members of the group.
-        statsd: Where metrics go; None sends them nowhere.
-        metrics: Where scrapers fetch metrics; None serves them nowhere.
+        statsd: Address of the statsd server; None disables statsd.
+        metrics: Address to serve metrics on; None disables the server.
         log_level: Lowest level that is logged.
         listen: Address on which the member accepts links.
         data_folder: Folder of the journal.
-        snapshot_every: Log entries between two snapshots.
-        seeds: Members to ask for the group; with them, `members` may be empty.
-        bootstrap: Whether the seeds form the group when they are blank.
-        voters: Voters that the group should have; 0 takes in no others.
-        lease_s: Duration of a router's lease in seconds; the same everywhere.
-        silent_s: Time without a heartbeat in seconds after which an endpoint
-            gets no new work; 0 where endpoints send no heartbeats.
+        snapshot_every: Number of log entries between two snapshots.
+        seeds: Members to ask for the group's member list; if set, `members`
+            may be empty.
+        bootstrap: Whether the seeds form a new group if they are all blank.
+        voters: Target number of voters; 0 adds no members to the group.
+        lease_s: Duration of a router's lease in seconds; must be the same in
+            all processes.
+        silent_s: Time in seconds without a heartbeat after which an endpoint
+            gets no new work; 0 if endpoints send no heartbeats.
     """
 
     role: str = "member"
@@ -99,21 +101,22 @@
         data_centre: Data centre of the instance.
         credential: Secret shared by the system's own processes and operators.
         members: All members of the group.
-        statsd: Where metrics go; None sends them nowhere.
-        metrics: Where scrapers fetch metrics; None serves them nowhere.
+        statsd: Address of the statsd server; None disables statsd.
+        metrics: Address to serve metrics on; None disables the server.
         log_level: Lowest level that is logged.
         listen: Address on which callers and endpoints connect by HTTP.
-        endpoint_credential: Secret that endpoints show in announcements.
+        endpoint_credential: Secret that endpoints send in announcements.
         distances_ms: One-way delay to each data centre in milliseconds.
-        class_fill: Requests in batch and queue of a runner, as a part of its
-            slots, up to which each class is sent there.
-        drain_s: Longest graceful shutdown in seconds.
+        class_fill: For each class, the number of requests in a runner's batch
+            and queue, as a fraction of its slots, up to which the class is
+            sent there.
+        drain_s: Maximum duration of a graceful shutdown in seconds.
         prefill_tokens_s: Prompt tokens that one runner computes per second.
-        request_s: Mean time that a request occupies a place in a runner's
-            batch, in seconds.
-        max_body_bytes: Largest request body.
-        max_streams: Most requests in progress at once.
-        queue_limit: Most requests that wait for an endpoint.
+        request_s: Mean time in seconds that a request occupies a slot of a
+            runner's batch.
+        max_body_bytes: Maximum size of a request body.
+        max_streams: Maximum number of concurrent requests.
+        queue_limit: Maximum number of requests that wait for an endpoint.
     """
 
     role: str = "router"
@@ -165,7 +168,7 @@
 def _read_address(section: Section | None, min_port: int) -> Address | None:
     if section is None:
         return None
-    host = section.get("host", "an IP number", _is_ip_address)
+    host = section.get("host", "an IP address", _is_ip_address)
     port = section.integer("port", min_port, 65535)
     section.reject_unknown_keys()
     return Address(host, port)
@@ -191,13 +194,13 @@
     addresses = [(m.host, m.port) for m in found if m.host and m.port]
     for label, values in (("name", names), ("host and port", addresses)):
         if len(set(values)) != len(values):
-            top.add_fault("members", f"two with one {label}", "no duplicates")
+            top.add_fault("members", f"duplicate {label}", "no duplicates")
 
 
 def _read_credential(
     top: Section, key: str, folder: pathlib.Path
 ) -> str | None:
-    """Reads a secret given in place or as the name of a file."""
+    """Reads a secret from the setting or from the file that it names."""
     low, high = MIN_CREDENTIAL_CHARACTERS, MAX_CREDENTIAL_CHARACTERS
     allowed = f"{low} to {high} characters without spaces"
     pattern = re.compile(rf"[!-~]{{{low},{high}}}")
@@ -319,14 +322,14 @@
 
 
 def load_settings(path: str | pathlib.Path) -> Settings:
-    """Loads and checks a settings file.
+    """Loads and validates a settings file.
 
     File names in it are relative to the folder of the settings file. A file
-    with members and credential only is one of the command-line tool and needs
-    no role.
+    that has only members and a credential holds settings of the command-line
+    tool and needs no role.
 
     Raises:
-        SettingsError: With every fault of the file.
+        SettingsError: The file is invalid; the error lists all its faults.
     """
     path = pathlib.Path(path)
     values = _read_object(path)
--- a/knapweedarch/settings_reader.py
+++ b/knapweedarch/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads checked values from parsed settings and collects every fault."""
+"""Reads and validates values of parsed settings, and collects all faults."""
 
 import math
 import re
@@ -9,7 +9,7 @@
 
 
 class Section:
-    """One object of a settings file; collects the faults found in it."""
+    """An object of a settings file, whose faults are added to a list."""
 
     def __init__(self, values: dict, path: str, faults: list[str]):
         self._values = values
@@ -18,7 +18,7 @@
         self._known_keys: set[str] = set()
 
     def has(self, key: str) -> bool:
-        """Tells whether the object has a key."""
+        """Returns whether the object has a key."""
         return key in self._values
 
     def list_keys(self) -> list[str]:
@@ -26,7 +26,7 @@
         return list(self._values)
 
     def add_fault(self, key: str, seen: str, allowed: str) -> None:
-        """Notes a fault of a value."""
+        """Records a fault of the value of a key."""
         self._faults.append(
             f"{self._join_path(key)}: {seen}; allowed: {allowed}"
         )
@@ -39,7 +39,7 @@
         default: object = _REQUIRED,
         secret: bool = False,
     ):
-        """Returns a checked value; notes a fault and returns None if wrong."""
+        """Returns a value; if invalid, records a fault and returns None."""
         self._known_keys.add(key)
         if key not in self._values:
             if default is not _REQUIRED:
@@ -49,12 +49,12 @@
         value = self._values[key]
         if is_valid(value):
             return value
-        seen = "a value not shown" if secret else shorten(value)
+        seen = "value not shown" if secret else shorten(value)
         self.add_fault(key, seen, allowed)
         return None
 
     def text(self, key: str, pattern: re.Pattern, allowed: str, **options):
-        """Returns a text that matches a pattern."""
+        """Returns a string that matches a pattern."""
         return self.get(
             key,
             allowed,
@@ -63,10 +63,10 @@
         )
 
     def integer(self, key: str, low: int, high: int, **options):
-        """Returns a whole number within bounds."""
+        """Returns an integer within bounds."""
         return self.get(
             key,
-            f"a whole number from {low} to {high}",
+            f"an integer from {low} to {high}",
             lambda v: type(v) is int and low <= v <= high,
             **options,
         )
@@ -81,7 +81,7 @@
         )
 
     def section(self, key: str, **options) -> "Section | None":
-        """Returns an object, or None if it is missing or wrong."""
+        """Returns a nested object, or None if it is missing or invalid."""
         value = self.get(
             key, "an object", lambda v: isinstance(v, dict), **options
         )
@@ -90,7 +90,7 @@
         return Section(value, self._join_path(key), self._faults)
 
     def sections(self, key: str, allowed: str) -> "list[Section]":
-        """Returns the objects of a list."""
+        """Returns the objects of a list, which is empty if it is invalid."""
         values = self.get(
             key,
             allowed,
@@ -105,7 +105,7 @@
         ]
 
     def reject_unknown_keys(self) -> None:
-        """Notes a fault for each key that no reader asked for."""
+        """Records a fault for each key that was not read."""
         allowed = ", ".join(sorted(self._known_keys))
         for key in sorted(set(self._values) - self._known_keys):
             self.add_fault(key, "unknown key", allowed)
@@ -119,7 +119,7 @@
 
 
 def shorten(value: object) -> str:
-    """Formats a value for a message, cut to a bounded length."""
+    """Formats a value for an error message, truncated to a maximum length."""
     seen = repr(value)
     if len(seen) <= _MAX_SHOWN_CHARACTERS:
         return seen
--- a/knapweedarch/task_groups.py
+++ b/knapweedarch/task_groups.py
@@ -1,4 +1,4 @@
-"""Objects that own the tasks they start."""
+"""Base class of objects that own a task group."""
 
 from typing import Self
 
@@ -6,9 +6,9 @@
 
 
 class TaskOwner:
-    """Asynchronous context manager with a task group of its own.
+    """Asynchronous context manager that owns a task group.
 
-    Its tasks are cancelled when the context ends.
+    The tasks of the group are cancelled when the context exits.
     """
 
     async def __aenter__(self) -> Self:
--- a/knapweedarch/timers.py
+++ b/knapweedarch/timers.py
@@ -1,4 +1,4 @@
-"""Timer service that parts of a process subscribe to."""
+"""Clocks, and timers that call subscribers of a process."""
 
 import heapq
 import itertools
@@ -14,7 +14,7 @@
 
 
 async def run_steps(steps: Generator[None, None, _T]) -> _T:
-    """Runs a computation to its end; others use the loop between its steps."""
+    """Runs a generator to its end, yielding to the event loop between steps."""
     while True:
         try:
             next(steps)
@@ -24,16 +24,16 @@
 
 
 class Clock:
-    """Seconds since boot; counts through suspends, unlike `monotonic`."""
+    """Seconds since boot; unlike `monotonic`, includes suspended time."""
 
     def now(self) -> float:
-        """Returns the time in seconds; its zero has no meaning."""
+        """Returns the time in seconds; only differences are meaningful."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @attrs.define
 class ManualClock:
-    """Clock for tests; time moves only when told."""
+    """Clock for tests, whose time is set by the test."""
 
     time: float = 0.0
 
@@ -50,16 +50,16 @@
 
 
 class Timers:
-    """Calls subscribers at their times.
+    """Calls subscribers once or periodically.
 
-    A subscriber that raises ends the service: an error in a periodic task
-    must stop the process and not disappear.
+    An exception of a subscriber propagates out of `run`: an error in a periodic
+    task must stop the process instead of being lost.
     """
 
     def __init__(self, clock: Clock | ManualClock):
         self.clock = clock
-        # Tuples compare without a call into Python; the count keeps the order
-        # of equal times and spares the entries from being compared.
+        # Tuples are compared without running Python code. The sequence number
+        # preserves the order of equal times and avoids comparing timers.
         self._heap: list[tuple[float, int, _Timer]] = []
         self._sequence = itertools.count()
         self._changed = anyio.Event()
@@ -67,13 +67,13 @@
     def after(
         self, delay_s: float, callback: Callable[[float], None]
     ) -> Callable[[], None]:
-        """Calls back once after `delay_s` seconds; returns a cancel call."""
+        """Calls `callback` once after `delay_s`; returns a cancel function."""
         return self._add(delay_s, None, callback)
 
     def every(
         self, period_s: float, callback: Callable[[float], None]
     ) -> Callable[[], None]:
-        """Calls back each `period_s` seconds; returns a cancel call."""
+        """Calls `callback` every `period_s`; returns a cancel function."""
         return self._add(period_s, period_s, callback)
 
     def _add(self, delay_s, period, callback) -> Callable[[], None]:
@@ -91,19 +91,19 @@
             self._changed.set()
 
     def next_due(self) -> float | None:
-        """Returns the time of the next call, or None without subscribers."""
+        """Returns the time of the next call, or None if there are no timers."""
         while self._heap and self._heap[0][2].cancelled:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
     def fire(self) -> int:
-        """Calls every subscriber that is due; returns how many."""
+        """Calls every subscriber that is due; returns the number of calls."""
         now = self.clock.now()
         fired = 0
         while (due := self.next_due()) is not None and due <= now:
             _, _, timer = heapq.heappop(self._heap)
             if timer.period is not None:
-                # A late timer fires once and not once per missed period.
+                # A late timer fires once, not once per missed period.
                 due += timer.period
                 self._push(due if due > now else now + timer.period, timer)
             timer.callback(now)
@@ -111,7 +111,7 @@
         return fired
 
     async def run(self) -> None:
-        """Fires timers until cancelled."""
+        """Fires timers when they are due, until cancelled."""
         while True:
             if self._changed.is_set():
                 self._changed = anyio.Event()
