--- a/knapweedarch/timers.py
+++ b/knapweedarch/timers.py
@@ -45,7 +45,7 @@
 @attrs.define(eq=False)
 class _Timer:
     callback: Callable[[float], None]
-    period: float | None = None
+    period_s: float | None = None
     cancelled: bool = False
 
 
@@ -76,8 +76,8 @@
         """Calls `callback` every `period_s`; returns a cancel function."""
         return self._add(period_s, period_s, callback)
 
-    def _add(self, delay_s, period, callback) -> Callable[[], None]:
-        timer = _Timer(callback, period)
+    def _add(self, delay_s, period_s, callback) -> Callable[[], None]:
+        timer = _Timer(callback, period_s)
         self._push(self.clock.now() + delay_s, timer)
 
         def cancel() -> None:
@@ -102,10 +102,10 @@
         fired = 0
         while (due := self.next_due()) is not None and due <= now:
             _, _, timer = heapq.heappop(self._heap)
-            if timer.period is not None:
+            if timer.period_s is not None:
                 # A late timer fires once, not once per missed period.
-                due += timer.period
-                self._push(due if due > now else now + timer.period, timer)
+                due += timer.period_s
+                self._push(due if due > now else now + timer.period_s, timer)
             timer.callback(now)
             fired += 1
         return fired
