--- a/features/deployment.feature
+++ b/features/deployment.feature
@@ -1,13 +1,13 @@
-Feature: The promises over real processes
+Feature: Guarantees of a deployment of real processes
   Three members, two routers, two runners and a desk run as separate processes
-  on loopback. Each scenario causes a failure of whole processes or links.
+  on loopback. Scenarios inject failures of processes and links.
 
   Background:
     Given a running deployment
 
   Scenario: A router frozen during a rule change never applies the older rules
-    Guards against a change that is called in force while a router that was
-    cut off may still act on the older file.
+    Guards against a change that is reported as in force while a router that
+    cannot be reached may still apply the previous rules.
     Given router-2 is frozen
     When an operator applies rules without the customer
     Then the change is in force within 4.0 s
@@ -16,7 +16,7 @@
     And router-2 has applied the new rules within 4.0 s
 
   Scenario: A frozen leader gives no orders and serves nothing stale
-    Guards against two members that both answer for the system.
+    Guards against two members that both act as the leader.
     Given the leader is frozen
     When an operator applies rules without the customer
     Then the change is in force within 4.0 s
@@ -24,82 +24,83 @@
     Then the status shows the new rules and no request is served for the customer
 
   Scenario: The leader is killed and every deposit is still taken at most once
-    Guards against a reservation that is lost or doubled at a leader change.
+    Guards against a reservation that is lost or duplicated by a leader change.
     When 20 deposits are sent, each through both routers, while the leader is killed
     Then the desk ran no deposit twice
     And every answered deposit was run exactly once
 
   Scenario: Every process restarts at once
-    Guards against a cold start and against records or rules that are lost.
+    Guards against a cold start, and against lost records or rules.
     Given a deposit was taken through router-1
     When every member and router is killed and started again
     Then router-1 serves a chat request within 5.0 s of its start
     And a resend of the deposit through router-2 returns the first answer
 
   Scenario: A member loses its disk, and another one is lost after the repair
-    Guards against a blank member that votes as if it remembered.
+    Guards against a blank member that votes as if it still had its log.
     Given a deposit was taken through router-1
     When a follower loses its disk and is replaced
     And the other follower is killed
     Then a resend of the deposit through router-2 returns the first answer
 
   Scenario: A planned stop of a router cuts no stream
-    Guards against streams that break when a router is restarted.
+    Guards against streams that are cut by a restart of their router.
     Given a stream of 150 tokens runs through router-1
-    When router-1 is stopped in the planned way
-    Then the stream is whole
+    When router-1 is stopped gracefully
+    Then the stream is complete
     And router-1 exited with code 0
 
   Scenario: A retired endpoint gets no new work on any router
-    Guards against a router that sends on an old endpoint list.
-    Given a router whose control links pass a relay
-    When the relay lets nothing through
+    Guards against a router that uses an outdated endpoint list.
+    Given a router whose control links pass through a relay
+    When the relay blocks all traffic
     And an operator retires runner-1
     Then 20 requests to that router are refused as lease_expired
-    And 5 more requests through each router run elsewhere
+    And 5 more requests through each router run on the other runner
 
   Scenario: A runner is killed in mid-stream
-    Guards against a cut or doubled text.
+    Guards against truncated or duplicated text.
     Given a stream of 150 tokens runs through router-1
     When the runner that serves the stream is killed
-    Then the stream is whole
+    Then the stream is complete
 
   Scenario: Control links go silent while new connections work
-    Guards against a router that waits for good on a forgotten connection.
-    Given a router whose control links pass a relay
-    When the relay forgets its open connections
+    Guards against a router that waits forever on a connection that a middlebox
+    no longer forwards.
+    Given a router whose control links pass through a relay
+    When the relay stops forwarding on open connections
     Then that router is ready again within 4.0 s
 
   Scenario: A router behind a silent partition stops serving
-    Guards against an isolated router that acts on what it last knew.
-    Given a router whose control links pass a relay
-    When the relay lets nothing through
+    Guards against an isolated router that keeps serving with outdated rules.
+    Given a router whose control links pass through a relay
+    When the relay blocks all traffic
     And an operator applies rules without the customer
     Then the change is in force within 4.0 s
     And 20 requests to that router are refused as lease_expired
-    When the relay lets everything through
+    When the relay forwards all traffic again
     Then that router is ready again within 4.0 s
 
   Scenario: New weights are rolled out while requests go on
-    Guards against a roll-out that takes the capacity away.
+    Guards against a roll-out that leaves no capacity for requests.
     When the rules name version w2 and requests go on through both routers
     Then every request was answered
     And every runner announces w2 within 20.0 s
 
   Scenario: A router takes no more requests at once than its settings allow
-    Guards against a router that runs out of memory under a flood.
-    Given a router that takes 2 requests at once
-    When 6 streams are started through it at once
-    Then 2 of them are whole and 4 are refused as queue_full
-    And it answered the balancer and took a deposit meanwhile
+    Guards against a router that runs out of memory under overload.
+    Given a router with a limit of 2 concurrent requests
+    When 6 concurrent streams are started through it
+    Then 2 of them are complete and 4 are refused as queue_full
+    And it answered each readiness check and deposit meanwhile
 
   Scenario: A rolling restart of everything cuts no request
-    Guards against planned stops of routers or members that callers notice.
+    Guards against graceful restarts that make requests of callers fail.
     When every member and router is stopped and started in turn while requests go on
     Then every request was answered
 
   Scenario: Every process serves its metrics and logs to standard output
-    Guards against an incident in which neither can be fetched.
+    Guards against metrics or logs that are not available in an incident.
     When the metrics of member-1 and router-1 are fetched
     Then they hold "knapweedarch_member_term" and "knapweedarch_lease_held"
     And the log of router-1 holds JSON lines with "started"
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,25 +1,26 @@
-"""Ends what a scenario left running."""
+"""Behave hooks: sets up scenarios and cleans up after them."""
 
 import logging
 import pathlib
 import sys
 
-# The adapter's package lies in a folder that is no package itself.
+# The folder `platform` is not a package; this makes the adapter's package
+# importable.
 ADAPTER = pathlib.Path(__file__).resolve().parent.parent / "platform"
 sys.path.insert(0, str(ADAPTER))
 
 
 def before_all(context):
-    """Keeps one line per HTTP request out of the reports."""
+    """Suppresses the log line of httpx for each HTTP request."""
     logging.getLogger("httpx").setLevel(logging.WARNING)
 
 
 def before_scenario(context, scenario):
-    """Gives each scenario an empty list of things to close."""
+    """Gives each scenario an empty list of cleanup functions."""
     context.closing = []
 
 
 def after_scenario(context, scenario):
-    """Closes in reverse order of opening."""
+    """Calls the cleanup functions in reverse order."""
     for close in reversed(context.closing):
         close()
--- a/features/rules.feature
+++ b/features/rules.feature
@@ -1,6 +1,6 @@
 Feature: Rule files
 
-  DIGEST_A, DIGEST_B stand for 64 hexadecimal digits.
+  DIGEST_A and DIGEST_B are placeholders for 64 hexadecimal digits.
 
   Scenario: A correct file is read whole
     Given the rule file
@@ -18,6 +18,8 @@
     And formatting the rules gives a file with the same rules
 
   Scenario: Every fault is reported at once with line and column
+    Guards against a parser that stops at the first fault, reports a wrong place,
+    or reports faults that only follow from others.
     Given the rule file
       """
       customer a key=sha256:DIGEST_A models=guide,nope  # asked by A
@@ -65,14 +67,16 @@
       """
 
   Scenario: A key pasted in the clear is not repeated in the message
+    Guards against API keys in terminals and logs.
     Given the rule file
       """
       customer a key=counter-tablet-key  # asked by A
       """
-    Then the rules are refused without "counter-tablet-key"
+    Then the rules are refused with messages that omit "counter-tablet-key"
 
   Scenario: Separators other than line breaks do not shift line numbers
-    # Editors count neither form feeds nor U+2028 as line breaks.
+    Guards against line numbers that differ from those in editors, which count
+    neither form feeds nor U+2028 as line breaks.
     Given a rule file whose comment in line 1 holds U+2028 and U+000C in line 2
     Then the rules are refused with exactly
       """
@@ -82,6 +86,7 @@
       """
 
   Scenario: Files from Windows editors are accepted
+    Guards against CR characters that are refused or become part of a value.
     Given a rule file with CR LF line ends
     Then the rules are accepted
 
@@ -93,10 +98,10 @@
       """
 
     Examples:
-      | what                   | fault                                |
-      | 20001 lines            | 20001:1: more than 20000 lines       |
-      | 2097153 bytes          | 1:1: 2097153 bytes exceed the limit of 2097152 |
-      | a line of 4097         | 1:4097: more than 4096 characters    |
+      | what                      | fault                                          |
+      | 20001 lines               | 20001:1: more than 20000 lines                 |
+      | 2097153 bytes             | 1:1: 2097153 bytes exceed the limit of 2097152 |
+      | a line of 4097 characters | 1:4097: more than 4096 characters              |
 
   Scenario: A file of the largest size is accepted
     Given a rule file with 20000 lines
@@ -122,12 +127,14 @@
       | removed | service  | booking | once /deposits > , asked by H >     |
 
   Scenario: A damaged file is accepted or refused, and never fails otherwise
-    # Guards against errors other than RuleError, and places outside the file.
+    Guards against exceptions other than RuleError, and against faults with a
+    line or column outside the file.
     Given 3000 damaged rule files from seed 7
-    Then each is either the same after formatting or refused within its lines
+    Then each is refused at a place in it, or keeps its rules when formatted
 
   Scenario: A large file is parsed in short steps
-    Guards against streams that stop while a router reads new rules.
+    Guards against a router that stops relaying streams while it parses new
+    rules.
     Given a rule file with 2300 customers
     When it is parsed in steps
-    Then it takes at least 20 steps and gives the same rules
+    Then it takes at least 20 steps and gives the same rules as in one step
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,7 +1,7 @@
 Feature: Settings, logs and metrics
 
   Scenario Outline: The example settings load
-    Given the examples with their secrets in place
+    Given a copy of the examples with secret files
     Then examples/<file> loads as <settings>
 
     Examples:
@@ -11,9 +11,11 @@
       | tool.json5   | ToolSettings   |
 
   Scenario: The example rule file is accepted
-    Then examples/huts.rules is a correct rule file
+    Then examples/huts.rules is a valid rule file
 
   Scenario: Every fault is reported at once with value and allowed values
+    Guards against a check that stops at the first fault, and against misspelled
+    keys that are ignored.
     Given the settings file
       """
       {
@@ -81,50 +83,54 @@
         members: [{name: "a", host: "::1", port: 1}],
       }
       """
-    Then the settings are refused with "endpoint_credential: a copy of credential"
+    Then the settings are refused with "endpoint_credential: equal to credential"
     And no message contains "very-secret"
     Given the settings file
       """
       {credential: "very-secret-0123456789", members: [{name: "a", host: "::1", port: 1}]}
       """
-    Then the settings load without showing "very-secret"
+    Then the settings load and their repr omits "very-secret"
 
   Scenario: The daemon's verb refuses the tool's settings
+    Guards against a daemon that starts without a role.
     Given the settings file
       """
       {credential: "very-secret-0123456789", members: [{name: "a", host: "::1", port: 1}]}
       """
-    Then serving with them is refused
+    Then serving with these settings is refused
 
   Scenario: Events are logged as JSON with their number
-    Given logs of level "info" go to memory
+    Given logging to memory at level "info"
     When event "rules_applied" is logged with version 7
     And event "request_refused" is logged with version 8
-    Then the only line has event 304, name "rules_applied" and version 7
+    Then the only log line has event 304, name "rules_applied" and version 7
 
   Scenario: Logging an event that is not registered fails
-    Given logs of level "error" go to memory
+    Guards against misspelled event names.
+    Given logging to memory at level "error"
     Then logging event "rule_applied" fails
     And no two events share a number or a name
 
   Scenario: Counters reach statsd and are kept in process
     Given metrics with prefix "router-1" and a statsd socket
-    When counter "refused.deadline" is raised by 2
+    When counter "refused.deadline" is incremented by 2
     And gauge "lease.held" is set to 1
     Then the socket receives "router-1.refused.deadline:2|c" and "router-1.lease.held:1|g"
     And the count of "refused.deadline" in process is 2
 
   Scenario: Without a statsd address counts stay in process
     Given metrics without a statsd address
-    When counter "crossed.dropped" is raised by 1
+    When counter "crossed.dropped" is incremented by 1
     Then the count of "crossed.dropped" in process is 1
 
   Scenario: Unknown metrics fail, and every reason has its counter
+    Guards against misspelled metric names, and against a gauge that is used as
+    a counter.
     Given metrics without a statsd address
-    Then raising counter "refused.typo" fails
-    And raising counter "lease.held" fails
+    Then incrementing counter "refused.typo" fails
+    And incrementing counter "lease.held" fails
     And each refusal and retry reason has a counter
 
   Scenario: The check of catalogues finds names that are not registered
     Given a package that logs "no_such_event" and counts "no.such"
-    Then the check of catalogues names both places
+    Then the catalogue check reports both places
--- a/features/steps/deployment_steps.py
+++ b/features/steps/deployment_steps.py
@@ -1,4 +1,4 @@
-"""Steps over real processes."""
+"""Steps that run a deployment of separate processes on loopback."""
 
 import concurrent.futures
 import hashlib
@@ -34,7 +34,7 @@
 
 
 def call_members(cluster, call):
-    """Runs one call against the control members."""
+    """Runs `call` with a control client and returns its result."""
     members = [control.MemberAddress(**m) for m in cluster.members]
 
     async def run():
@@ -48,7 +48,7 @@
 
 
 def submit(cluster, command):
-    """Submits an operator's command; returns result and seconds."""
+    """Submits an operator's command; returns result and duration in seconds."""
     started = time.monotonic()
     result = call_members(
         cluster, lambda client: client.submit(command, CHANGE_LIMIT_S)
@@ -62,7 +62,7 @@
 
 
 def chat(cluster, router, max_tokens=5, **options):
-    """Sends one whole chat request."""
+    """Sends a chat request that is not streamed."""
     return httpx.post(
         f"{cluster.url(router)}/v1/chat/completions",
         json={
@@ -77,7 +77,7 @@
 
 
 def deposit(cluster, router, key):
-    """Takes a deposit."""
+    """Sends a deposit with an idempotency key."""
     return httpx.post(
         f"{cluster.url(router)}/services/booking/deposits",
         json={"amount": 400, "key": key},
@@ -87,12 +87,12 @@
 
 
 def read_desk_runs(cluster):
-    """Returns how often the desk ran each key."""
+    """Returns the number of runs per idempotency key at the desk."""
     return httpx.get(f"{cluster.url('desk-1')}/stats").json()["runs"]
 
 
 def start_all(pool, start, names):
-    """Starts several processes side by side."""
+    """Starts several processes concurrently."""
     return list(pool.map(start, names))
 
 
@@ -120,7 +120,7 @@
 
 
 def start_endpoints(pool, cluster):
-    """Starts two runners and a desk side by side."""
+    """Starts two runners and a desk concurrently."""
     runners = [
         pool.submit(
             *(cluster.start_runner, f"runner-{i}", "guide"),
@@ -145,10 +145,11 @@
 
 @when("{count:d} requests are sent to {router} before it continues")
 def send_to_frozen_router(context, count, router):
-    """Sends requests that a frozen router finds when it wakes up.
+    """Sends requests to a frozen router, then continues it with SIGCONT.
 
-    They reach it together with whatever else waits in its sockets, so that
-    it must judge them by its lease and not by the news on its links.
+    The router finds the requests together with messages that wait on its
+    control links, so it must reject them because its lease has expired, not
+    because it has read newer rules.
     """
     cluster = context.cluster
     pool = concurrent.futures.ThreadPoolExecutor(count)
@@ -165,7 +166,7 @@
 
 
 def count_connections(url):
-    """Counts the open connections to a listener, from the kernel's table."""
+    """Counts the established connections of a listener in /proc/net/tcp."""
     address = httpx.URL(url)
     parts = reversed(address.host.split("."))
     wanted = "".join(f"{int(p):02X}" for p in parts) + f":{address.port:04X}"
@@ -250,8 +251,8 @@
     for key, answer in context.answers:
         if not answer.is_success:
             outcome = answer.json()["error"]["outcome"]
-            # A refusal marked not_run may still be followed by a resend
-            # through the other router that ran the call.
+            # After an answer with not_run, the request through the other router
+            # may still have run the call.
             assert outcome in ("not_run", "unknown"), answer.text
             assert key in answered or outcome == "unknown" or key not in runs
 
@@ -341,7 +342,7 @@
 
 
 def read_stream(url, tokens, started):
-    """Reads a stream; returns its text and whether the end mark came."""
+    """Reads a stream; returns its text and whether it ended with [DONE]."""
     text, ended = "", False
     body = {
         "model": "guide",
@@ -366,12 +367,12 @@
     return text, ended
 
 
-@when("{router} is stopped in the planned way")
+@when("{router} is stopped gracefully")
 def stop_router(context, router):
     context.exit_code = context.cluster.stop(router)
 
 
-@then("the stream is whole")
+@then("the stream is complete")
 def check_stream(context):
     text, ended = context.stream.result(30)
     assert ended, text[-100:]
@@ -390,11 +391,11 @@
 
 
 def read_runner_runs(cluster, name):
-    """Returns how many requests a runner has run."""
+    """Returns the number of requests that a runner has run."""
     return httpx.get(f"{cluster.url(name)}/stats").json()["runs"]
 
 
-@then("{count:d} more requests through each router run elsewhere")
+@then("{count:d} more requests through each router run on the other runner")
 def check_runs_elsewhere(context, count):
     cluster = context.cluster
     for router in ("router-1", "router-2"):
@@ -416,7 +417,7 @@
     cluster.kill(serving[0])
 
 
-@given("a router whose control links pass a relay")
+@given("a router whose control links pass through a relay")
 def start_relayed_router(context):
     cluster = context.cluster
     context.relays = [
@@ -432,7 +433,7 @@
     cluster.wait_ready("router-3")
 
 
-@when("the relay forgets its open connections")
+@when("the relay stops forwarding on open connections")
 def silence_relays(context):
     assert sum(relay.silence() for relay in context.relays) > 0
     context.silenced_at = time.monotonic()
@@ -440,8 +441,8 @@
 
 @then("that router is ready again within {bound:f} s")
 def check_ready_again(context, bound):
-    # The lease outlives the silence only if a fresh link is opened in time,
-    # so readiness is watched over the whole time.
+    # The router keeps its lease only if it opens a new link in time, so its
+    # readiness is polled until the limit.
     until = time.monotonic() + bound
     cluster = context.cluster
     cluster.wait_ready("router-3", bound)
@@ -450,13 +451,13 @@
     assert last == 200, last
 
 
-@when("the relay lets nothing through")
+@when("the relay blocks all traffic")
 def cut_relays(context):
     for relay in context.relays:
         relay.cut(True)
 
 
-@when("the relay lets everything through")
+@when("the relay forwards all traffic again")
 def restore_relays(context):
     for relay in context.relays:
         relay.cut(False)
@@ -520,13 +521,13 @@
     assert context.duration_s <= bound, context.duration_s
 
 
-@given("a router that takes {count:d} requests at once")
+@given("a router with a limit of {count:d} concurrent requests")
 def start_small_router(context, count):
     context.cluster.start_router("router-3", max_streams=count)
     context.cluster.wait_ready("router-3")
 
 
-@when("{count:d} streams are started through it at once")
+@when("{count:d} concurrent streams are started through it")
 def start_streams(context, count):
     cluster = context.cluster
     context.probes = []
@@ -541,10 +542,12 @@
     context.answers = [stream.result() for stream in streams]
 
 
-@then("{whole:d} of them are whole and {refused:d} are refused as {reason}")
-def check_stream_results(context, whole, refused, reason):
+@then(
+    "{complete:d} of them are complete and {refused:d} are refused as {reason}"
+)
+def check_stream_results(context, complete, refused, reason):
     failed = [a for a in context.answers if not a.is_success]
-    assert len(context.answers) - len(failed) == whole, context.answers
+    assert len(context.answers) - len(failed) == complete, context.answers
     assert len(failed) == refused, context.answers
     for answer in failed:
         error = answer.json()["error"]
@@ -552,13 +555,13 @@
         assert answer.headers["retry-after"]
 
 
-@then("it answered the balancer and took a deposit meanwhile")
+@then("it answered each readiness check and deposit meanwhile")
 def check_probes(context):
     assert context.probes and set(context.probes) == {200}, context.probes
 
 
 def send_balanced(cluster, send):
-    """Sends a request as a balancer would: to a router that is ready."""
+    """Sends a request to a ready router, as a load balancer does."""
     while True:
         for router in ("router-1", "router-2"):
             try:
@@ -570,7 +573,7 @@
             try:
                 return send(cluster, router)
             except httpx.ConnectError:
-                # The router is down; nothing was sent to it.
+                # The router is down, and nothing was sent.
                 continue
 
 
@@ -603,7 +606,7 @@
 
 
 def restart_in_turn(cluster):
-    """Stops and starts each router and member, waiting for each."""
+    """Restarts each router and member in turn, waiting until each works."""
     for router in ("router-1", "router-2"):
         port = cluster.processes[router].port
         assert cluster.stop(router) == 0
--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -66,7 +66,7 @@
     context.rule_text = "#" + "é" * ((number - 1) // 2)
 
 
-@given("a rule file with a line of {number:d}")
+@given("a rule file with a line of {number:d} characters")
 def set_file_with_long_line(context, number):
     context.rule_text = "#" * number
 
@@ -98,7 +98,7 @@
     assert found == context.text.split("\n"), "\n".join(found)
 
 
-@then('the rules are refused without "{text}"')
+@then('the rules are refused with messages that omit "{text}"')
 def check_value_not_repeated(context, text):
     found = collect_faults(context.rule_text)
     assert found and text not in "\n".join(found), found
@@ -152,7 +152,7 @@
     assert found == [tuple(row) for row in context.table], found
 
 
-@then("each is either the same after formatting or refused within its lines")
+@then("each is refused at a place in it, or keeps its rules when formatted")
 def check_damaged_files(context):
     refused = 0
     for text in context.damaged:
@@ -167,7 +167,7 @@
             assert 1 <= int(line) <= len(lines), (fault, text)
             length = len(lines[int(line) - 1])
             assert 1 <= int(column) <= length + 1, (fault, text)
-    # A generator that damages nothing would prove nothing.
+    # Both outcomes must occur, or the generated files do not test the parser.
     assert 0 < refused < len(context.damaged), refused
 
 
@@ -191,7 +191,9 @@
         context.step_count += 1
 
 
-@then("it takes at least {count:d} steps and gives the same rules")
+@then(
+    "it takes at least {count:d} steps and gives the same rules as in one step"
+)
 def check_steps_and_rules(context, count):
     assert context.step_count >= count, context.step_count
     assert context.rules == parse_rules(context.large_text)
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -34,7 +34,7 @@
     return []
 
 
-@given("the examples with their secrets in place")
+@given("a copy of the examples with secret files")
 def copy_examples(context):
     context.folder = create_folder(context)
     shutil.copytree(ROOT / "examples", context.folder, dirs_exist_ok=True)
@@ -47,7 +47,7 @@
     assert type(api.load(context.folder / file)).__name__ == settings
 
 
-@then("examples/{file} is a correct rule file")
+@then("examples/{file} is a valid rule file")
 def check_example_rules(context, file):
     assert parse_rules((ROOT / "examples" / file).read_text()).customers
 
@@ -75,14 +75,14 @@
     assert text not in "".join(collect_faults(context.path))
 
 
-@then('the settings load without showing "{text}"')
+@then('the settings load and their repr omits "{text}"')
 def check_secret_hidden(context, text):
     settings = api.load(context.path)
     assert settings.credential.startswith(text)
     assert text not in repr(settings)
 
 
-@then("serving with them is refused")
+@then("serving with these settings is refused")
 def check_serving_refused(context):
     try:
         api.serve(api.load(context.path))
@@ -91,7 +91,7 @@
     raise AssertionError("the tool's settings were served")
 
 
-@given('logs of level "{level}" go to memory')
+@given('logging to memory at level "{level}"')
 def capture_logs(context, level):
     context.log_stream = io.StringIO()
     logs.setup_logging(level, context.log_stream)
@@ -103,7 +103,8 @@
 
 
 @then(
-    'the only line has event {number:d}, name "{name}" and version {version:d}'
+    'the only log line has event {number:d}, name "{name}" '
+    "and version {version:d}"
 )
 def check_only_line(context, number, name, version):
     (line,) = map(json.loads, context.log_stream.getvalue().splitlines())
@@ -147,7 +148,7 @@
     context.metrics = create_metrics(None, 0, "x")
 
 
-@when('counter "{name}" is raised by {number:d}')
+@when('counter "{name}" is incremented by {number:d}')
 def increment_counter(context, name, number):
     context.metrics.count(name, number)
 
@@ -168,7 +169,7 @@
     assert context.metrics.counts[name] == number
 
 
-@then('raising counter "{name}" fails')
+@then('incrementing counter "{name}" fails')
 def check_count_fails(context, name):
     check_key_error(context.metrics.count, name)
 
@@ -188,7 +189,7 @@
     )
 
 
-@then("the check of catalogues names both places")
+@then("the catalogue check reports both places")
 def check_catalogue_faults(context):
     script = ROOT / "scripts" / "check_catalogues.py"
     spec = importlib.util.spec_from_file_location("check_catalogues", script)
--- a/knapweedarch/process_pauses.py
+++ b/knapweedarch/process_pauses.py
@@ -1,6 +1,6 @@
 """Detects that the process was paused, for example by SIGSTOP.
 
-After a pause, its view of other processes is out of date by that time.
+What it knows about other processes is then out of date by the pause.
 """
 
 from collections.abc import Callable
--- a/knapweedarch/settings.py
+++ b/knapweedarch/settings.py
@@ -289,7 +289,7 @@
     if endpoint_credential and endpoint_credential == common["credential"]:
         # Endpoints could otherwise act as members or operators.
         top.add_fault(
-            "endpoint_credential", "a copy of credential", "another one"
+            "endpoint_credential", "equal to credential", "a different secret"
         )
     return RouterSettings(
         **common,
