--- a/features/rules.feature
+++ b/features/rules.feature
@@ -1,6 +1,6 @@
 Feature: Rule files
 
-  DIGEST_A, DIGEST_B stand for 64 hexadecimal digits.
+  DIGEST_A and DIGEST_B are placeholders for 64 hexadecimal digits.
 
   Scenario: A correct file is read whole
     Given the rule file
@@ -18,6 +18,8 @@
     And formatting the rules gives a file with the same rules
 
   Scenario: Every fault is reported at once with line and column
+    Guards against a parser that stops at the first fault, reports a wrong place,
+    or reports faults that only follow from others.
     Given the rule file
       """
       customer a key=sha256:DIGEST_A models=guide,nope  # asked by A
@@ -43,7 +45,7 @@
       test.rules:2:96: field 'rate' is given twice
       test.rules:2:103: unknown field 'foo'; known: key, class, rate, concurrent, share, models
       test.rules:3:10: customer 'b' already has a rule in line 2
-      test.rules:3:16: the value is not sha256: and 64 hexadecimal digits
+      test.rules:3:16: the value is not sha256: followed by 64 hexadecimal digits
       test.rules:3:19: '# asked by NAME' is missing
       test.rules:4:1: unknown kind 'modle'; known: customer, model, service
       test.rules:4:8: '# asked by NAME' is missing
@@ -57,7 +59,7 @@
       test.rules:8:1: field 'key' is missing
       test.rules:9:12: field 'key' has no value
       test.rules:10:6: the model has no name
-      test.rules:11:99: '1.5' is not a whole number from 0 to 100000
+      test.rules:11:99: '1.5' is not an integer from 0 to 100000
       test.rules:11:109: 'vip' is not one of availability, guest, interactive, batch
       test.rules:12:16: '/a//b' is not a path such as /deposits or /shop/orders
       test.rules:13:16: '/deposits/' is not a path such as /deposits or /shop/orders
@@ -65,14 +67,16 @@
       """
 
   Scenario: A key pasted in the clear is not repeated in the message
+    Guards against API keys in terminals and logs.
     Given the rule file
       """
       customer a key=counter-tablet-key  # asked by A
       """
-    Then the rules are refused without "counter-tablet-key"
+    Then the rules are refused with messages that omit "counter-tablet-key"
 
   Scenario: Separators other than line breaks do not shift line numbers
-    # Editors count neither form feeds nor U+2028 as line breaks.
+    Guards against line numbers that differ from those in editors, which count
+    neither form feeds nor U+2028 as line breaks.
     Given a rule file whose comment in line 1 holds U+2028 and U+000C in line 2
     Then the rules are refused with exactly
       """
@@ -82,6 +86,7 @@
       """
 
   Scenario: Files from Windows editors are accepted
+    Guards against CR characters that are refused or become part of a value.
     Given a rule file with CR LF line ends
     Then the rules are accepted
 
@@ -93,10 +98,10 @@
       """
 
     Examples:
-      | what                   | fault                                |
-      | 20001 lines            | 20001:1: more than 20000 lines       |
-      | 2097153 bytes          | 1:1: 2097153 bytes are more than 2097152 |
-      | a line of 4097         | 1:4097: more than 4096 characters    |
+      | what                      | fault                                          |
+      | 20001 lines               | 20001:1: more than 20000 lines                 |
+      | 2097153 bytes             | 1:1: 2097153 bytes exceed the limit of 2097152 |
+      | a line of 4097 characters | 1:4097: more than 4096 characters              |
 
   Scenario: A file of the largest size is accepted
     Given a rule file with 20000 lines
@@ -122,12 +127,14 @@
       | removed | service  | booking | once /deposits > , asked by H >     |
 
   Scenario: A damaged file is accepted or refused, and never fails otherwise
-    # Guards against errors other than RuleError, and places outside the file.
+    Guards against exceptions other than RuleError, and against faults with a
+    line or column outside the file.
     Given 3000 damaged rule files from seed 7
-    Then each is either the same after formatting or refused within its lines
+    Then each is refused at a place in it, or keeps its rules when formatted
 
   Scenario: A large file is parsed in short steps
-    Guards against streams that stop while a router reads new rules.
+    Guards against a router that stops relaying streams while it parses new
+    rules.
     Given a rule file with 2300 customers
     When it is parsed in steps
-    Then it takes at least 20 steps and gives the same rules
+    Then it takes at least 20 steps and gives the same rules as in one step
--- a/knapweedarch/daemon.py
+++ b/knapweedarch/daemon.py
@@ -1,6 +1,6 @@
-"""Entry point of the daemon; one role per process."""
+"""Entry point of the daemon, which runs one role per process."""
 
-# Notes when the process started, so it comes first.
+# Imported first, because it records when the process started.
 import knapweedarch.process_start  # noqa: F401 isort: skip
 
 import pathlib
@@ -13,7 +13,11 @@
 from knapweedarch.logs import log, setup_logging
 from knapweedarch.metrics import Metrics, create_metrics
 from knapweedarch.metrics_server import serve_metrics
-from knapweedarch.process import refuse_settings, run_process, stop_on_signal
+from knapweedarch.process import (
+    exit_with_settings_errors,
+    run_process,
+    stop_on_signal,
+)
 from knapweedarch.settings import (
     MemberSettings,
     RouterSettings,
@@ -34,19 +38,20 @@
         if isinstance(loaded, ToolSettings):
             raise SettingsError(["role: 'tool' is not a role of the daemon"])
     except SettingsError as exc:
-        refuse_settings(exc)
+        exit_with_settings_errors(exc)
     setup_logging(loaded.log_level)
     run_process(run, loaded)
 
 
 async def run(settings: MemberSettings | RouterSettings) -> None:
-    """Runs the role that the settings name.
+    """Runs the role given by the settings.
 
     Raises:
-        JournalError: The journal of a member failed; nothing more is answered.
+        JournalError: The journal of a member failed; the member has stopped
+            answering requests.
     """
     clock = Clock()
-    metrics = _metrics(settings)
+    metrics = _create_metrics(settings)
     match settings:
         case MemberSettings():
             daemon = await member.open_member(settings, clock, metrics)
@@ -55,26 +60,27 @@
     async with anyio.create_task_group() as group:
         if isinstance(daemon, member.Member):
             group.start_soon(stop_on_signal, daemon, group.cancel_scope)
-        port = await group.start(_run_to_end, daemon, group.cancel_scope)
+        port = await group.start(_run_role, daemon, group.cancel_scope)
         if settings.metrics is not None:
             await group.start(serve_metrics, metrics, settings.metrics, clock)
         log("started", role=settings.role, name=settings.name, port=port)
-        # Whoever starts the process reads the port that the kernel chose.
+        # The parent process reads this line to learn the port that the kernel
+        # chose.
         print(f"ready {port}", flush=True)
 
 
-async def _run_to_end(
+async def _run_role(
     daemon: member.Member | router.Router,
     scope: anyio.CancelScope,
     *,
     task_status=anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Runs a role; what else the process serves ends with it."""
+    """Runs a role, then cancels the other tasks of the process."""
     await daemon.run(task_status=task_status)
     scope.cancel()
 
 
-def _metrics(settings: MemberSettings | RouterSettings) -> Metrics:
+def _create_metrics(settings: MemberSettings | RouterSettings) -> Metrics:
     address = settings.statsd
     if address is None:
         return create_metrics(None, 0, settings.name)
@@ -82,7 +88,7 @@
 
 
 def main() -> None:
-    """Parses the command line and serves."""
+    """Parses the command line and runs the daemon."""
     defopt.run(serve, cli_options="all")
 
 
--- a/knapweedarch/rule_kinds.py
+++ b/knapweedarch/rule_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of rules and their fields, with the limits of each value."""
+"""Kinds of rules, their fields, and the range of each value."""
 
 import re
 from collections.abc import Callable
@@ -23,15 +23,15 @@
 _VERSION = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
 _KEY = re.compile(r"sha256:([0-9a-fA-F]{64})")
 _NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?")
-# Callers' paths are compared without empty or dotted segments, so a prefix
-# with one would never match, and /deposits/ would not cover /deposits itself;
-# calls that the operator meant to protect could then run twice.
+# Request paths are matched without empty or dot segments. A prefix with such a
+# segment would never match, and /deposits/ would not match /deposits itself, so
+# calls that the operator meant to protect could run twice.
 _PATH = re.compile(r"/|(?=.{1,256}$)(/(?!\.{1,2}(/|$))[A-Za-z0-9._~-]+)+")
 Rule = CustomerRule | ModelRule | ServiceRule
 
 
 class InvalidValueError(Exception):
-    """A value is refused; `offset` is where in the value, from 0."""
+    """A value is invalid; `offset` is the position of the fault, from 0."""
 
     def __init__(self, reason: str, offset: int = 0):
         self.reason = reason
@@ -41,71 +41,71 @@
 
 @attrs.frozen
 class Field:
-    """A field that a kind of rule accepts.
+    """A field of a kind of rule.
 
     Attributes:
-        attribute: Attribute of the rule class.
-        read: Converts the text; raises `InvalidValueError`.
-        write: Converts back.
-        required: Whether a rule without it is refused.
+        attribute: Name of the attribute in the rule class.
+        parse: Converts text to a value; raises `InvalidValueError`.
+        format: Converts a value to text.
+        required: Whether every rule of this kind must set the field.
     """
 
     attribute: str
-    read: Callable[[str], object]
-    write: Callable[[object], str]
+    parse: Callable[[str], object]
+    format: Callable[[object], str]
     required: bool = False
 
 
 @attrs.frozen
 class Kind:
-    """A kind of rule: how to create one and its fields by key."""
+    """A kind of rule: its class, and its fields by key."""
 
-    create: type
+    rule_class: type
     fields: dict[str, Field]
 
 
 def shorten(text: str) -> str:
-    """Quotes a text of the file for a message."""
+    """Quotes a text for an error message, truncated to 40 characters."""
     return repr(text if len(text) <= 40 else f"{text[:37]}...")
 
 
-def _number(low: float, high: float) -> Callable[[str], float]:
+def _number_parser(low: float, high: float) -> Callable[[str], float]:
     bounds = f"{_format_number(low)} to {_format_number(high)}"
 
-    def read(text: str) -> float:
+    def parse(text: str) -> float:
         if not _NUMBER.fullmatch(text) or not low <= float(text) <= high:
             raise InvalidValueError(
                 f"{shorten(text)} is not a number from {bounds}"
             )
         return float(text)
 
-    return read
+    return parse
 
 
-def _integer(low: int, high: int) -> Callable[[str], int]:
-    def read(text: str) -> int:
+def _integer_parser(low: int, high: int) -> Callable[[str], int]:
+    def parse(text: str) -> int:
         if not re.fullmatch(r"[0-9]{1,12}", text) or not (
             low <= int(text) <= high
         ):
             raise InvalidValueError(
-                f"{shorten(text)} is not a whole number from {low} to {high}"
+                f"{shorten(text)} is not an integer from {low} to {high}"
             )
         return int(text)
 
-    return read
+    return parse
 
 
-def _matching(pattern: re.Pattern, allowed: str) -> Callable[[str], str]:
-    def read(text: str) -> str:
+def _pattern_parser(pattern: re.Pattern, allowed: str) -> Callable[[str], str]:
+    def parse(text: str) -> str:
         if not pattern.fullmatch(text):
             raise InvalidValueError(f"{shorten(text)} is not {allowed}")
         return text
 
-    return read
+    return parse
 
 
-def _list_of(read_item: Callable[[str], str]) -> Callable[[str], tuple]:
-    def read(text: str) -> tuple[str, ...]:
+def _list_parser(parse_item: Callable[[str], str]) -> Callable[[str], tuple]:
+    def parse(text: str) -> tuple[str, ...]:
         found: list[str] = []
         offset = 0
         for item in text.split(","):
@@ -114,7 +114,7 @@
                     f"{shorten(item)} is given twice", offset
                 )
             try:
-                found.append(read_item(item))
+                found.append(parse_item(item))
             except InvalidValueError as exc:
                 raise InvalidValueError(exc.reason, offset) from exc
             offset += len(item) + 1
@@ -122,20 +122,20 @@
             raise InvalidValueError(f"more than {MAX_ITEMS} items")
         return tuple(found)
 
-    return read
+    return parse
 
 
-def _key_digest(text: str) -> str:
+def _parse_key_digest(text: str) -> str:
     found = _KEY.fullmatch(text)
     if not found:
-        # The value is not repeated: it may be an API key pasted in the clear.
+        # The message omits the value: it may be an API key in plain text.
         raise InvalidValueError(
-            "the value is not sha256: and 64 hexadecimal digits"
+            "the value is not sha256: followed by 64 hexadecimal digits"
         )
     return found[1].lower()
 
 
-def _priority(text: str) -> Priority:
+def _parse_priority(text: str) -> Priority:
     names = {p.name.lower(): p for p in Priority}
     if text not in names:
         raise InvalidValueError(
@@ -144,8 +144,8 @@
     return names[text]
 
 
-read_name = _matching(_NAME, _NAME_ALLOWED)
-_path = _matching(_PATH, "a path such as /deposits or /shop/orders")
+parse_name = _pattern_parser(_NAME, _NAME_ALLOWED)
+_parse_path = _pattern_parser(_PATH, "a path such as /deposits or /shop/orders")
 
 
 def _format_number(value: float) -> str:
@@ -157,26 +157,30 @@
         CustomerRule,
         {
             "key": Field(
-                "key_digest", _key_digest, lambda v: f"sha256:{v}", True
+                "key_digest", _parse_key_digest, lambda v: f"sha256:{v}", True
+            ),
+            "class": Field(
+                "priority", _parse_priority, lambda v: v.name.lower()
+            ),
+            "rate": Field("rate", _number_parser(0, MAX_RATE), _format_number),
+            "concurrent": Field(
+                "concurrent", _integer_parser(0, MAX_CONCURRENT), str
             ),
-            "class": Field("priority", _priority, lambda v: v.name.lower()),
-            "rate": Field("rate", _number(0, MAX_RATE), _format_number),
-            "concurrent": Field("concurrent", _integer(0, MAX_CONCURRENT), str),
             "share": Field(
-                "share", _number(MIN_SHARE, MAX_SHARE), _format_number
+                "share", _number_parser(MIN_SHARE, MAX_SHARE), _format_number
             ),
-            "models": Field("models", _list_of(read_name), ",".join),
+            "models": Field("models", _list_parser(parse_name), ",".join),
         },
     ),
     "model": Kind(
         ModelRule,
         {
             "version": Field(
-                "version", _matching(_VERSION, "a version name"), str
+                "version", _pattern_parser(_VERSION, "a version name"), str
             ),
             "first_token": Field(
                 "first_token_s",
-                _number(MIN_TIME_S, MAX_TIME_S),
+                _number_parser(MIN_TIME_S, MAX_TIME_S),
                 _format_number,
             ),
         },
@@ -184,9 +188,11 @@
     "service": Kind(
         ServiceRule,
         {
-            "once": Field("once", _list_of(_path), ",".join),
+            "once": Field("once", _list_parser(_parse_path), ",".join),
             "timeout": Field(
-                "timeout_s", _number(MIN_TIME_S, MAX_TIME_S), _format_number
+                "timeout_s",
+                _number_parser(MIN_TIME_S, MAX_TIME_S),
+                _format_number,
             ),
         },
     ),
--- a/knapweedarch/settings.py
+++ b/knapweedarch/settings.py
@@ -1,8 +1,8 @@
-"""Settings files: JSON with comments, checked as a whole.
+"""Reads and validates settings files in JSON5 format.
 
-Every fault of a file is reported at once, each with the path of the setting,
-the value seen and what is allowed. Unknown keys are refused, since a misspelt
-optional key would otherwise be ignored without a word.
+All faults of a file are reported together, each with the path of the setting,
+its value and the allowed values. Unknown keys are rejected, because a
+misspelled optional key would otherwise be silently ignored.
 """
 
 import ipaddress
@@ -26,13 +26,13 @@
 GROUP_SIZES = (1, 3, 5)
 CLASS_NAMES = tuple(priority.name.lower() for priority in Priority)
 CLASS_FILL_RANGE = (0.05, 10.0)
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,63}")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,63}")
 NAME_ALLOWED = "1 to 64 of A-Z a-z 0-9 _ -, starting with a letter or digit"
 
 
 @attrs.frozen
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -41,7 +41,7 @@
 def seed_addresses(
     seeds: Iterable[Address],
 ) -> tuple[MemberAddress, ...]:
-    """Returns addresses for members whose names are not known yet."""
+    """Returns addresses for seed members whose names are not yet known."""
     return tuple(
         MemberAddress(f"{s.host}:{s.port}", s.host, s.port) for s in seeds
     )
@@ -53,22 +53,24 @@
 
     Attributes:
         role: Always `member`.
-        name: Name of this member; one of `members`.
+        name: Name of this member; must be in `members`.
         data_centre: Data centre of the instance.
         credential: Secret shared by the system's own processes and operators.
         members: All members of the group.
-        statsd: Where metrics go; None sends them nowhere.
-        metrics: Where scrapers fetch metrics; None serves them nowhere.
+        statsd: Address of the statsd server; None disables statsd.
+        metrics: Address to serve metrics on; None disables the server.
         log_level: Lowest level that is logged.
         listen: Address on which the member accepts links.
         data_folder: Folder of the journal.
-        snapshot_every: Log entries between two snapshots.
-        seeds: Members to ask for the group; with them, `members` may be empty.
-        bootstrap: Whether the seeds form the group when they are blank.
-        voters: Voters that the group should have; 0 takes in no others.
-        lease_s: Duration of a router's lease in seconds; the same everywhere.
-        silent_s: Time without a heartbeat in seconds after which an endpoint
-            gets no new work; 0 where endpoints send no heartbeats.
+        snapshot_every: Number of log entries between two snapshots.
+        seeds: Members to ask for the group's member list; if set, `members`
+            may be empty.
+        bootstrap: Whether the seeds form a new group if they are all blank.
+        voters: Target number of voters; 0 adds no members to the group.
+        lease_s: Duration of a router's lease in seconds; must be the same in
+            all processes.
+        silent_s: Time in seconds without a heartbeat after which an endpoint
+            gets no new work; 0 if endpoints send no heartbeats.
     """
 
     role: str = "member"
@@ -99,21 +101,22 @@
         data_centre: Data centre of the instance.
         credential: Secret shared by the system's own processes and operators.
         members: All members of the group.
-        statsd: Where metrics go; None sends them nowhere.
-        metrics: Where scrapers fetch metrics; None serves them nowhere.
+        statsd: Address of the statsd server; None disables statsd.
+        metrics: Address to serve metrics on; None disables the server.
         log_level: Lowest level that is logged.
         listen: Address on which callers and endpoints connect by HTTP.
-        endpoint_credential: Secret that endpoints show in announcements.
+        endpoint_credential: Secret that endpoints send in announcements.
         distances_ms: One-way delay to each data centre in milliseconds.
-        class_fill: Requests in batch and queue of a runner, as a part of its
-            slots, up to which each class is sent there.
-        drain_s: Longest graceful shutdown in seconds.
+        class_fill: For each class, the number of requests in a runner's batch
+            and queue, as a fraction of its slots, up to which the class is
+            sent there.
+        drain_s: Maximum duration of a graceful shutdown in seconds.
         prefill_tokens_s: Prompt tokens that one runner computes per second.
-        request_s: Mean time that a request occupies a place in a runner's
-            batch, in seconds.
-        max_body_bytes: Largest request body.
-        max_streams: Most requests in progress at once.
-        queue_limit: Most requests that wait for an endpoint.
+        request_s: Mean time in seconds that a request occupies a slot of a
+            runner's batch.
+        max_body_bytes: Maximum size of a request body.
+        max_streams: Maximum number of concurrent requests.
+        queue_limit: Maximum number of requests that wait for an endpoint.
     """
 
     role: str = "router"
@@ -154,7 +157,7 @@
 Settings = MemberSettings | RouterSettings | ToolSettings
 
 
-def _is_ip(value: object) -> bool:
+def _is_ip_address(value: object) -> bool:
     try:
         ipaddress.ip_address(value if isinstance(value, str) else "")
     except ValueError:
@@ -162,25 +165,25 @@
     return True
 
 
-def _address(section: Section | None, lowest_port: int) -> Address | None:
+def _read_address(section: Section | None, min_port: int) -> Address | None:
     if section is None:
         return None
-    host = section.get("host", "an IP number", _is_ip)
-    port = section.integer("port", lowest_port, 65535)
-    section.finish()
+    host = section.get("host", "an IP address", _is_ip_address)
+    port = section.integer("port", min_port, 65535)
+    section.reject_unknown_keys()
     return Address(host, port)
 
 
-def _members(top: Section) -> tuple[MemberAddress, ...]:
+def _read_member_list(top: Section) -> tuple[MemberAddress, ...]:
     sizes = f"{', '.join(map(str, GROUP_SIZES[:-1]))} or {GROUP_SIZES[-1]}"
     allowed = f"a list of {sizes} objects with name, host and port"
     found = []
     sections = top.sections("members", allowed)
     if sections and len(sections) not in GROUP_SIZES:
-        top.fault("members", f"{len(sections)} objects", allowed)
+        top.add_fault("members", f"{len(sections)} objects", allowed)
     for section in sections:
-        name = section.text("name", NAME, NAME_ALLOWED)
-        address = _address(section, 1)
+        name = section.text("name", NAME_PATTERN, NAME_ALLOWED)
+        address = _read_address(section, 1)
         found.append(MemberAddress(name, address.host, address.port))
     _check_distinct(top, found)
     return tuple(found)
@@ -188,14 +191,16 @@
 
 def _check_distinct(top: Section, found: list[MemberAddress]) -> None:
     names = [m.name for m in found if m.name]
-    places = [(m.host, m.port) for m in found if m.host and m.port]
-    for label, values in (("name", names), ("host and port", places)):
+    addresses = [(m.host, m.port) for m in found if m.host and m.port]
+    for label, values in (("name", names), ("host and port", addresses)):
         if len(set(values)) != len(values):
-            top.fault("members", f"two with one {label}", "no duplicates")
+            top.add_fault("members", f"duplicate {label}", "no duplicates")
 
 
-def _credential(top: Section, key: str, folder: pathlib.Path) -> str | None:
-    """Reads a secret given in place or as the name of a file."""
+def _read_credential(
+    top: Section, key: str, folder: pathlib.Path
+) -> str | None:
+    """Reads a secret from the setting or from the file that it names."""
     low, high = MIN_CREDENTIAL_CHARACTERS, MAX_CREDENTIAL_CHARACTERS
     allowed = f"{low} to {high} characters without spaces"
     pattern = re.compile(rf"[!-~]{{{low},{high}}}")
@@ -204,42 +209,44 @@
         return top.text(key, pattern, allowed, secret=True)
     name = top.text(file_key, re.compile(".+"), "the name of a file")
     if top.has(key):
-        top.fault(key, f"given together with {file_key}", "one of the two")
+        top.add_fault(key, f"given together with {file_key}", "one of the two")
         top.get(key, allowed, lambda v: True)
     try:
         value = (folder / (name or "")).read_text("utf-8").strip()
     except (OSError, UnicodeDecodeError) as exc:
         reason = getattr(exc, "strerror", None) or "not UTF-8 text"
-        top.fault(file_key, f"{shorten(name)} ({reason})", "a readable file")
+        top.add_fault(
+            file_key, f"{shorten(name)} ({reason})", "a readable file"
+        )
         return None
     if not pattern.fullmatch(value):
-        top.fault(file_key, f"content of {shorten(name)}", allowed)
+        top.add_fault(file_key, f"content of {shorten(name)}", allowed)
     return value
 
 
-def _common(top: Section, folder: pathlib.Path) -> dict[str, object]:
+def _read_common(top: Section, folder: pathlib.Path) -> dict[str, object]:
     return {
-        "name": top.text("name", NAME, NAME_ALLOWED),
-        "data_centre": top.text("data_centre", NAME, NAME_ALLOWED),
-        "credential": _credential(top, "credential", folder),
-        "members": _members(top),
-        "statsd": _address(top.section("statsd", default=None), 1),
-        "metrics": _address(top.section("metrics", default=None), 0),
+        "name": top.text("name", NAME_PATTERN, NAME_ALLOWED),
+        "data_centre": top.text("data_centre", NAME_PATTERN, NAME_ALLOWED),
+        "credential": _read_credential(top, "credential", folder),
+        "members": _read_member_list(top),
+        "statsd": _read_address(top.section("statsd", default=None), 1),
+        "metrics": _read_address(top.section("metrics", default=None), 0),
         "log_level": top.get(
             "log_level",
             ", ".join(LEVELS),
             lambda v: isinstance(v, str) and v in LEVELS,
             default="info",
         ),
-        "listen": _address(top.section("listen"), 0),
+        "listen": _read_address(top.section("listen"), 0),
     }
 
 
 def _read_member(top: Section, folder: pathlib.Path) -> MemberSettings:
-    common = _common(top, folder)
+    common = _read_common(top, folder)
     names = [m.name for m in common["members"]]
     if names and common["name"] and common["name"] not in names:
-        top.fault("name", repr(common["name"]), f"one of members: {names}")
+        top.add_fault("name", repr(common["name"]), f"one of members: {names}")
     data_folder = top.text("data_folder", re.compile(".+"), "a folder name")
     return MemberSettings(
         **common,
@@ -250,21 +257,21 @@
     )
 
 
-def _distances(top: Section) -> dict[str, float]:
+def _read_distances(top: Section) -> dict[str, float]:
     section = top.section("distances_ms", default=None)
     if section is None:
         return {}
     found = {}
-    for key in section.names():
-        if NAME.fullmatch(key):
+    for key in section.list_keys():
+        if NAME_PATTERN.fullmatch(key):
             found[key] = section.number(key, 0, 10_000)
         else:
             section.get(key, "", lambda v: True)
-            section.fault(key, "a data centre's name", NAME_ALLOWED)
+            section.add_fault(key, "a data centre's name", NAME_ALLOWED)
     return found
 
 
-def _class_fill(top: Section) -> dict[str, float]:
+def _read_class_fill(top: Section) -> dict[str, float]:
     section = top.section("class_fill", default=None)
     if section is None:
         return {}
@@ -272,21 +279,23 @@
         name: section.number(name, *CLASS_FILL_RANGE, default=None)
         for name in CLASS_NAMES
     }
-    section.finish()
+    section.reject_unknown_keys()
     return {name: part for name, part in found.items() if part is not None}
 
 
 def _read_router(top: Section, folder: pathlib.Path) -> RouterSettings:
-    common = _common(top, folder)
-    endpoint_credential = _credential(top, "endpoint_credential", folder)
+    common = _read_common(top, folder)
+    endpoint_credential = _read_credential(top, "endpoint_credential", folder)
     if endpoint_credential and endpoint_credential == common["credential"]:
         # Endpoints could otherwise act as members or operators.
-        top.fault("endpoint_credential", "a copy of credential", "another one")
+        top.add_fault(
+            "endpoint_credential", "equal to credential", "a different secret"
+        )
     return RouterSettings(
         **common,
         endpoint_credential=endpoint_credential,
-        distances_ms=_distances(top),
-        class_fill=_class_fill(top),
+        distances_ms=_read_distances(top),
+        class_fill=_read_class_fill(top),
         drain_s=top.number("drain_s", 0, 3600, default=120.0),
         prefill_tokens_s=top.number("prefill_tokens_s", 1, 1e7, default=2e4),
         request_s=top.number("request_s", 0.01, 3600, default=3.0),
@@ -300,8 +309,8 @@
 
 def _read_tool(top: Section, folder: pathlib.Path) -> ToolSettings:
     return ToolSettings(
-        credential=_credential(top, "credential", folder),
-        members=_members(top),
+        credential=_read_credential(top, "credential", folder),
+        members=_read_member_list(top),
     )
 
 
@@ -313,14 +322,14 @@
 
 
 def load_settings(path: str | pathlib.Path) -> Settings:
-    """Loads and checks a settings file.
+    """Loads and validates a settings file.
 
     File names in it are relative to the folder of the settings file. A file
-    with members and credential only is one of the command-line tool and needs
-    no role.
+    that has only members and a credential holds settings of the command-line
+    tool and needs no role.
 
     Raises:
-        SettingsError: With every fault of the file.
+        SettingsError: The file is invalid; the error lists all its faults.
     """
     path = pathlib.Path(path)
     values = _read_object(path)
@@ -336,7 +345,7 @@
     if role is None:
         raise SettingsError([f"{path}: {fault}" for fault in faults])
     settings = _READERS[role](top, path.parent)
-    top.finish()
+    top.reject_unknown_keys()
     if faults:
         raise SettingsError([f"{path}: {fault}" for fault in faults])
     return settings
