--- a/features/steps/observability_steps.py
+++ b/features/steps/observability_steps.py
@@ -75,7 +75,7 @@
     context.add_cleanup(os.close, reader)
     # The bound per second is another scenario's; this one fills the pipe.
     logs.setup_logging("info", stream)
-    handler()._limit.most = 1_000_000
+    handler()._rate_limiter.max_lines = 1_000_000
     context.add_cleanup(logs.setup_logging, "info", io.StringIO())
 
 
--- a/knapweedarch/api.py
+++ b/knapweedarch/api.py
@@ -140,7 +140,9 @@
     text = rule_files.read_rules_text(path)
     if base_version is None:
         base_version = rule_files.noted_base(path)
-    request_id = _choose_id(request_id, apply_order(text, base_version))
+    request_id = _resolve_request_id(
+        request_id, apply_order(text, base_version)
+    )
     result = _submit(settings, PutRules(request_id, base_version, text))
     if isinstance(result, RulesAccepted):
         rule_files.note_base(path, result.version)
@@ -167,7 +169,7 @@
     Raises:
         ControlError: `unreachable`, `unknown_outcome` or `refused`.
     """
-    request_id = _choose_id(request_id, retire_order(endpoint_id))
+    request_id = _resolve_request_id(request_id, retire_order(endpoint_id))
     return _submit(settings, Retire(request_id, endpoint_id))
 
 
@@ -178,7 +180,9 @@
         ControlError: `unreachable` or `refused`.
     """
     try:
-        return _talk(settings, lambda client: client.status(STATUS_TIMEOUT_S))
+        return _run_client_action(
+            settings, lambda client: client.status(STATUS_TIMEOUT_S)
+        )
     except ControlError as exc:
         if exc.reason != "unknown_outcome":
             raise
@@ -192,10 +196,10 @@
     Raises:
         ControlError: A member is not blank or does not answer.
     """
-    _talk(settings, lambda client: client.form(settings.members))
+    _run_client_action(settings, lambda client: client.form(settings.members))
 
 
-def _choose_id(request_id: str, order: Order) -> str:
+def _resolve_request_id(request_id: str, order: Order) -> str:
     if not request_id:
         return create_request_id(order)
     check_request_id(request_id, order)
@@ -203,7 +207,7 @@
 
 
 def _submit(settings: Settings, command: object):
-    result = _talk(
+    result = _run_client_action(
         settings, lambda client: client.submit(command, ORDER_TIMEOUT_S)
     )
     if isinstance(result, RequestIdReused):
@@ -211,14 +215,14 @@
     return result
 
 
-def _talk(
+def _run_client_action(
     settings: Settings,
     action: Callable[[control.ControlClient], Awaitable[object]],
 ):
-    return anyio.run(_talk_async, settings, action)
+    return anyio.run(_run_client_action_async, settings, action)
 
 
-async def _talk_async(settings, action):
+async def _run_client_action_async(settings, action):
     client = control.create_control_client(
         settings.members, settings.credential.encode(), Clock()
     )
--- a/knapweedarch/cli.py
+++ b/knapweedarch/cli.py
@@ -45,7 +45,7 @@
 EXIT_UNKNOWN = 4
 MAX_VERSION = 2**63 - 1
 MAX_ID_CHARACTERS = 128
-INTERRUPTED = (
+INTERRUPTED_TEXT = (
     "the command broke off; if it gave an order, the outcome is unknown: "
     "resend with the same request id"
 )
@@ -106,11 +106,11 @@
         json: Print one JSON document.
     """
     text = rule_files.read_rules_text(file)
-    found = api.status(api.load(settings))
-    changes = diff_rules(parse_rules(found.rules_text), parse_rules(text))
-    noted = rule_files.note_base(file, found.rules_version)
-    same_text = text == found.rules_text
-    reports.print_diff(found.rules_version, changes, same_text, json)
+    reply = api.status(api.load(settings))
+    changes = diff_rules(parse_rules(reply.rules_text), parse_rules(text))
+    noted = rule_files.note_base(file, reply.rules_version)
+    same_text = text == reply.rules_text
+    reports.print_diff(reply.rules_version, changes, same_text, json)
     if not noted:
         reports.warn(f"cannot write {file}.base; give --base to apply")
     return EXIT_DONE
@@ -140,7 +140,7 @@
     if not 0 <= base <= MAX_VERSION:
         raise UsageError(f"--base: {base}; allowed: 0 to {MAX_VERSION}")
     loaded = api.load(settings)
-    request_id = _announce_id(request_id, api.apply_order(text, base))
+    request_id = _print_request_id(request_id, api.apply_order(text, base))
     match api.apply(loaded, file, base, request_id):
         case RulesAccepted(version=version):
             return reports.print_done(
@@ -170,11 +170,11 @@
         settings: Settings file with members and credential.
         json: Print one JSON document with endpoints and rule file.
     """
-    found = api.status(api.load(settings))
+    reply = api.status(api.load(settings))
     if rules and not json:
-        sys.stdout.write(found.rules_text)
+        sys.stdout.write(reply.rules_text)
     else:
-        reports.print_list(found, json)
+        reports.print_list(reply, json)
     return EXIT_DONE
 
 
@@ -223,8 +223,8 @@
         )
     loaded = api.load(settings)
     order = api.announce_order(endpoint_id, repr(sorted(given.items())))
-    request_id = _announce_id(request_id, order)
-    endpoint = _endpoint(api.status(loaded), endpoint_id, given)
+    request_id = _print_request_id(request_id, order)
+    endpoint = _build_endpoint(api.status(loaded), endpoint_id, given)
     if endpoint is None:
         return reports.print_refused(
             json,
@@ -264,11 +264,11 @@
         return False
 
 
-def _endpoint(
-    found: StatusReply, endpoint_id: str, given: dict
+def _build_endpoint(
+    reply: StatusReply, endpoint_id: str, given: dict
 ) -> Endpoint | None:
     """Returns the endpoint to announce, or None if too little is known."""
-    for entry in found.endpoints:
+    for entry in reply.endpoints:
         if entry.endpoint.id == endpoint_id:
             return attrs.evolve(
                 entry.endpoint, status=EndpointStatus.ACTIVE, **given
@@ -295,7 +295,7 @@
     """
     _check_texts(endpoint_id)
     loaded = api.load(settings)
-    request_id = _announce_id(request_id, api.retire_order(endpoint_id))
+    request_id = _print_request_id(request_id, api.retire_order(endpoint_id))
     return _report_endpoint(
         json,
         endpoint_id,
@@ -383,7 +383,7 @@
 }
 
 
-def _announce_id(request_id: str, order: api.Order) -> str:
+def _print_request_id(request_id: str, order: api.Order) -> str:
     """Prints the request id before the order is sent, for a resend."""
     if request_id:
         api.check_request_id(request_id, order)
@@ -405,22 +405,22 @@
     except RequestIdError as exc:
         return reports.print_faults(json, [str(exc)], EXIT_USAGE)
     except ControlError as exc:
-        return _report_control(json, exc)
+        return _report_control_error(json, exc)
     except KeyboardInterrupt:
-        return reports.print_faults(json, [INTERRUPTED], EXIT_UNKNOWN)
+        return reports.print_faults(json, [INTERRUPTED_TEXT], EXIT_UNKNOWN)
     except Exception:
         # Python would end with code 1, which promises that nothing was done.
         traceback.print_exc()
-        return reports.print_faults(json, [INTERRUPTED], EXIT_UNKNOWN)
+        return reports.print_faults(json, [INTERRUPTED_TEXT], EXIT_UNKNOWN)
 
 
-def _report_control(json: bool, exc: ControlError) -> int:
+def _report_control_error(json: bool, exc: ControlError) -> int:
     codes = {"refused": EXIT_REFUSED, "unreachable": EXIT_UNREACHABLE}
-    found = codes.get(exc.reason, EXIT_UNKNOWN)
+    exit_code = codes.get(exc.reason, EXIT_UNKNOWN)
     text = str(exc)
-    if found == EXIT_UNKNOWN:
+    if exit_code == EXIT_UNKNOWN:
         text += "; the outcome is unknown: resend with the same request id"
-    return reports.print_faults(json, [text], found)
+    return reports.print_faults(json, [text], exit_code)
 
 
 def main() -> None:
--- a/knapweedarch/explain.py
+++ b/knapweedarch/explain.py
@@ -7,9 +7,9 @@
 import attrs
 
 # Changes of an endpoint up to this long before the request may explain it.
-BEFORE_S = 10.0
+CONTEXT_S = 10.0
 # Lines by which a process tells what it believes of itself.
-OWN_STATE = frozenset(
+PROCESS_EVENTS = frozenset(
     (
         *("started", "stopped", "drain_started", "process_was_stopped"),
         *("lease_granted", "lease_expired", "lease_renewal_failed"),
@@ -17,7 +17,7 @@
     )
 )
 
-_REFUSALS = {
+_REFUSAL_TEXTS = {
     "deadline": "its time was over before an endpoint answered",
     "no_capacity": "no endpoint of its service was in use",
     "retries_exhausted": (
@@ -32,7 +32,7 @@
     "unknown_path": "no route of the configuration matches it",
     "unknown_key": "no customer of the configuration holds its key",
 }
-_ATTEMPTS = {
+_FAILURE_TEXTS = {
     "connect_refused": "took no connection",
     "connection_closed": "closed the connection",
     "answer_timeout": "did not answer in time",
@@ -109,106 +109,122 @@
         request_id: Id that the caller gave the request.
         lines: Lines of all logs.
     """
-    known = sorted(lines, key=lambda line: line.at)
-    own = tuple(x for x in known if x.text("request") == request_id)
-    if not own:
+    all_lines = sorted(lines, key=lambda line: line.at)
+    request_lines = tuple(
+        x for x in all_lines if x.text("request") == request_id
+    )
+    if not request_lines:
         return Explanation((), (), f"no line names request {request_id}")
-    return Explanation(own, _context(own, known), _conclude(own))
+    return Explanation(
+        request_lines,
+        _find_context(request_lines, all_lines),
+        _describe_end(request_lines),
+    )
 
 
-def _context(
-    own: Sequence[LogLine], known: Sequence[LogLine]
+def _find_context(
+    request_lines: Sequence[LogLine], all_lines: Sequence[LogLine]
 ) -> tuple[LogLine, ...]:
     """Returns what is told of the request's process and endpoints."""
-    endpoints = {x.text("endpoint") for x in own} - {""}
-    sources = {_process(x.source) for x in own}
-    since, until = own[0].at - BEFORE_S, own[-1].at
+    endpoints = {x.text("endpoint") for x in request_lines} - {""}
+    sources = {_process_name(x.source) for x in request_lines}
+    since, until = request_lines[0].at - CONTEXT_S, request_lines[-1].at
     return tuple(
         x
-        for x in known
+        for x in all_lines
         if since <= x.at <= until
         and not x.text("request")
-        and _tells(x, endpoints, _process(x.source) in sources)
+        and _is_context(x, endpoints, _process_name(x.source) in sources)
     )
 
 
-def _tells(line: LogLine, endpoints: set[str], own: bool) -> bool:
+def _is_context(line: LogLine, endpoints: set[str], same_process: bool) -> bool:
     """Tells whether a line is about the endpoints or the own process.
 
     What other routers took over of an endpoint does not matter here.
     """
     if line.text("endpoint") in endpoints:
-        return own or line.event != "endpoint_known"
-    return own and line.event in OWN_STATE
+        return same_process or line.event != "endpoint_known"
+    return same_process and line.event in PROCESS_EVENTS
 
 
-def _process(source: str) -> str:
+def _process_name(source: str) -> str:
     """Name of the process in what a collector put before a line."""
     return source.split()[-1]
 
 
-def _conclude(own: Sequence[LogLine]) -> str:
-    ends = [x for x in own if x.event in _ENDS]
+def _describe_end(request_lines: Sequence[LogLine]) -> str:
+    ends = [x for x in request_lines if x.event in _FINAL_EVENTS]
     if not ends:
         return (
             "its end is not told: the process ended first, or lines were left "
-            f"out; {_last_attempt(own)}"
+            f"out; {_describe_last_attempt(request_lines)}"
         )
     end = ends[-1]
-    where = f"at {_process(end.source)}"
+    where = f"at {_process_name(end.source)}"
     match end.event:
         case "request_refused_early":
-            why = _why(end.text("reason"))
+            why = _describe_refusal(end.text("reason"))
             return f"refused {where} with {end.text('status')}: {why}"
         case "caller_left":
-            return f"the caller left {where}; {_last_attempt(own)}"
+            return (
+                f"the caller left {where}; "
+                f"{_describe_last_attempt(request_lines)}"
+            )
         case "stream_ended":
-            return _conclude_stream(own, end, where)
-    return _conclude_answer(own, end, where)
+            return _describe_stream(request_lines, end, where)
+    return _describe_answer(request_lines, end, where)
 
 
-_ENDS = frozenset(
+_FINAL_EVENTS = frozenset(
     ("request_refused_early", "caller_left", "stream_ended", "request_answered")
 )
 
 
-def _conclude_answer(own: Sequence[LogLine], end: LogLine, where: str) -> str:
-    status, taken = end.text("status"), end.text("ms")
-    given_up = [x for x in own if x.event == "request_given_up"]
+def _describe_answer(
+    request_lines: Sequence[LogLine], end: LogLine, where: str
+) -> str:
+    status, duration_ms = end.text("status"), end.text("ms")
+    given_up = [x for x in request_lines if x.event == "request_given_up"]
     reasons = [x.text("reason") for x in given_up if x.text("status") != "0"]
     if reasons:
-        why = _why(reasons[-1])
-        return f"given up {where} with {status}: {why}; {_last_attempt(own)}"
+        why = _describe_refusal(reasons[-1])
+        return (
+            f"given up {where} with {status}: {why}; "
+            f"{_describe_last_attempt(request_lines)}"
+        )
     tried = end.fields.get("tried") or ["?"]
-    by = f"by {tried[-1]} with {status} after {taken} ms"
+    by = f"by {tried[-1]} with {status} after {duration_ms} ms"
     if status >= "500":
         return f"failed {where}: answered {by}"
     return f"answered {where} {by}"
 
 
-def _conclude_stream(own: Sequence[LogLine], end: LogLine, where: str) -> str:
-    events, taken = end.text("events"), end.text("ms")
+def _describe_stream(
+    request_lines: Sequence[LogLine], end: LogLine, where: str
+) -> str:
+    events, duration_ms = end.text("events"), end.text("ms")
     if end.text("outcome") == "answered":
-        return f"a whole stream of {events} events {where} in {taken} ms"
+        return f"a whole stream of {events} events {where} in {duration_ms} ms"
     if end.text("outcome") == "broken_off":
         return (
             f"the stream broke off {where} after {events} events; "
-            f"{_last_attempt(own)}"
+            f"{_describe_last_attempt(request_lines)}"
         )
-    return _conclude_answer(own, end, where)
+    return _describe_answer(request_lines, end, where)
 
 
-def _why(reason: str) -> str:
-    return _REFUSALS.get(reason, reason)
+def _describe_refusal(reason: str) -> str:
+    return _REFUSAL_TEXTS.get(reason, reason)
 
 
-def _last_attempt(own: Sequence[LogLine]) -> str:
-    failed = [x for x in own if x.event == "attempt_ended"]
+def _describe_last_attempt(request_lines: Sequence[LogLine]) -> str:
+    failed = [x for x in request_lines if x.event == "attempt_ended"]
     if failed:
         last = failed[-1]
-        what = _ATTEMPTS.get(last.text("reason"), last.text("reason"))
+        what = _FAILURE_TEXTS.get(last.text("reason"), last.text("reason"))
         return f"endpoint {last.text('endpoint')} {what}"
-    sent = [x for x in own if x.event == "request_sent"]
+    sent = [x for x in request_lines if x.event == "request_sent"]
     if sent:
         return f"it was at endpoint {sent[-1].text('endpoint')}"
     return "it was sent to no endpoint"
--- a/knapweedarch/log_volume.py
+++ b/knapweedarch/log_volume.py
@@ -13,45 +13,45 @@
 import attrs
 
 # Far above what one process logs of one event under load; docs/CAPACITY.md.
-LINES_PER_EVENT_S = 200
+MAX_LINES_PER_WINDOW = 200
 WINDOW_S = 1.0
-PENDING_BYTES = 256 * 1024
+MAX_PENDING_BYTES = 256 * 1024
 
 
 @attrs.define
-class LineLimit:
+class LineRateLimiter:
     """Lines of each event in the present second.
 
     Attributes:
         left_out: Lines left out since they were last told, by event name.
     """
 
-    most: int = LINES_PER_EVENT_S
-    left_out: Counter[str] = attrs.field(factory=Counter)
-    _since: float = 0.0
-    _written: Counter[str] = attrs.field(factory=Counter)
+    max_lines: int = MAX_LINES_PER_WINDOW
+    dropped: Counter[str] = attrs.field(factory=Counter)
+    _window_started_at: float = 0.0
+    _window_lines: Counter[str] = attrs.field(factory=Counter)
 
     def allow(self, event: str, now: float) -> bool:
         """Counts a line; tells whether it may be written."""
-        if now - self._since >= WINDOW_S:
-            self._since = now
-            self._written.clear()
-        self._written[event] += 1
-        if self._written[event] <= self.most:
+        if now - self._window_started_at >= WINDOW_S:
+            self._window_started_at = now
+            self._window_lines.clear()
+        self._window_lines[event] += 1
+        if self._window_lines[event] <= self.max_lines:
             return True
-        self.left_out[event] += 1
+        self.dropped[event] += 1
         return False
 
-    def take_left_out(self, now: float) -> dict[str, int]:
+    def take_dropped(self, now: float) -> dict[str, int]:
         """Returns the lines left out before the present second, once."""
-        if not self.left_out or now - self._since < WINDOW_S:
+        if not self.dropped or now - self._window_started_at < WINDOW_S:
             return {}
-        found = dict(self.left_out)
-        self.left_out.clear()
-        return found
+        dropped = dict(self.dropped)
+        self.dropped.clear()
+        return dropped
 
 
-class LineWriter:
+class NonBlockingLineWriter:
     """Writes lines to a stream without ever waiting for its reader.
 
     Args:
@@ -59,11 +59,13 @@
         pending_bytes: Bytes that may wait for the reader.
     """
 
-    def __init__(self, stream: TextIO, pending_bytes: int = PENDING_BYTES):
+    def __init__(
+        self, stream: TextIO, max_pending_bytes: int = MAX_PENDING_BYTES
+    ):
         self._stream = stream
-        self._most = pending_bytes
+        self._max_pending_bytes = max_pending_bytes
         self._pending = bytearray()
-        self._descriptor = _descriptor(stream)
+        self._descriptor = _get_descriptor(stream)
         if self._descriptor is not None:
             # Not every kind of file can be made non-blocking; those that
             # cannot, such as regular files, have no reader to wait for.
@@ -77,7 +79,7 @@
             return True
         data = line.encode() + b"\n"
         # A line that was begun is always finished, so none is cut in two.
-        fits = len(self._pending) + len(data) <= self._most
+        fits = len(self._pending) + len(data) <= self._max_pending_bytes
         if fits:
             self._pending += data
         self.flush()
@@ -97,7 +99,7 @@
         del self._pending[:written]
 
 
-def _descriptor(stream: TextIO) -> int | None:
+def _get_descriptor(stream: TextIO) -> int | None:
     try:
         return stream.fileno()
     except (io.UnsupportedOperation, AttributeError):
--- a/knapweedarch/logs.py
+++ b/knapweedarch/logs.py
@@ -7,11 +7,11 @@
 from pythonjsonlogger.json import JsonFormatter
 
 from knapweedarch.events import EVENTS
-from knapweedarch.log_volume import LineLimit, LineWriter
+from knapweedarch.log_volume import LineRateLimiter, NonBlockingLineWriter
 from knapweedarch.timers import Clock
 
 LEVELS = ("debug", "info", "warning", "error")
-NO_ROOM = "no room for the line"
+BUFFER_FULL = "no room for the line"
 
 _logger = logging.getLogger("knapweedarch")
 
@@ -22,8 +22,8 @@
     def __init__(self, stream: TextIO):
         super().__init__()
         self._clock = Clock()
-        self._limit = LineLimit()
-        self._writer = LineWriter(stream)
+        self._rate_limiter = LineRateLimiter()
+        self._writer = NonBlockingLineWriter(stream)
         self.setFormatter(
             JsonFormatter(
                 "{levelname}{message}",
@@ -36,10 +36,10 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Writes a record or counts it as left out."""
         now = self._clock.now()
-        if left_out := self._limit.take_left_out(now):
-            self._write(create_record("lines_left_out", {"lines": left_out}))
+        if dropped := self._rate_limiter.take_dropped(now):
+            self._write(create_record("lines_left_out", {"lines": dropped}))
         name = getattr(record, "event_name", record.name)
-        if self._limit.allow(name, now):
+        if self._rate_limiter.allow(name, now):
             self._write(record)
 
     def flush(self) -> None:
@@ -48,7 +48,7 @@
 
     def _write(self, record: logging.LogRecord) -> None:
         if not self._writer.write(self.format(record)):
-            self._limit.left_out[NO_ROOM] += 1
+            self._rate_limiter.dropped[BUFFER_FULL] += 1
 
 
 def setup_logging(level: str, stream: TextIO | None = None) -> None:
@@ -73,11 +73,15 @@
 
 def create_record(event: str, fields: dict[str, object]) -> logging.LogRecord:
     """Creates the record of a registered event."""
-    known = EVENTS[event]
+    registered = EVENTS[event]
     # The fields are nested, so that none can hide a field of the line itself.
-    extra = {"event": known.number, "event_name": known.name, "fields": fields}
+    extra = {
+        "event": registered.number,
+        "event_name": registered.name,
+        "fields": fields,
+    }
     return _logger.makeRecord(
-        *(_logger.name, known.level, "", 0, known.text, (), None),
+        *(_logger.name, registered.level, "", 0, registered.text, (), None),
         extra=extra,
     )
 
@@ -92,8 +96,8 @@
     Raises:
         KeyError: The event is not registered.
     """
-    known = EVENTS.get(event)
-    if known is None:
+    registered = EVENTS.get(event)
+    if registered is None:
         raise KeyError(f"event {event!r} is not registered in events.py")
-    if _logger.isEnabledFor(known.level):
+    if _logger.isEnabledFor(registered.level):
         _logger.handle(create_record(event, fields))
--- a/knapweedarch/metrics.py
+++ b/knapweedarch/metrics.py
@@ -68,7 +68,7 @@
 
 _C, _G, _T = MetricKind.COUNTER, MetricKind.GAUGE, MetricKind.TIMING
 
-_SINGLE = (
+_UNLABELLED_METRICS = (
     Metric("requests.started", _C, "Requests read from callers."),
     Metric("requests.finished", _C, "Requests answered in full."),
     Metric("requests.running", _G, "Requests in progress."),
@@ -103,7 +103,7 @@
 )
 
 
-def _by_reason(family: str, text: str, reason: enum.Enum) -> Metric:
+def _create_reason_counter(family: str, text: str, reason: enum.Enum) -> Metric:
     value = reason.value
     return Metric(
         *(f"{family}.{value}", _C, f"{text}: {value}.", family),
@@ -111,7 +111,7 @@
     )
 
 
-def _answer_time(kind: Repeatability, end: RequestEnd) -> Metric:
+def _create_answer_timing(kind: Repeatability, end: RequestEnd) -> Metric:
     return Metric(
         *(f"answer_time.{kind.value}.{end.value}", _T),
         f"Time from request to end, {kind.value}: {end.value}.",
@@ -121,10 +121,13 @@
 
 
 ALL_METRICS = (
-    *_SINGLE,
-    *(_by_reason("refused", "Refusals", r) for r in RefusalReason),
-    *(_by_reason("retried", "Failed attempts", r) for r in RetryReason),
-    *(_answer_time(k, o) for k in Repeatability for o in RequestEnd),
+    *_UNLABELLED_METRICS,
+    *(_create_reason_counter("refused", "Refusals", r) for r in RefusalReason),
+    *(
+        _create_reason_counter("retried", "Failed attempts", r)
+        for r in RetryReason
+    ),
+    *(_create_answer_timing(k, o) for k in Repeatability for o in RequestEnd),
 )
 METRICS = {metric.name: metric for metric in ALL_METRICS}
 
@@ -140,7 +143,7 @@
         self._counts = [0] * (len(BUCKETS_S) + 1)
         self.total_s = 0.0
 
-    def note(self, seconds: float) -> None:
+    def observe(self, seconds: float) -> None:
         """Counts a duration."""
         self._counts[bisect.bisect_left(BUCKETS_S, seconds)] += 1
         self.total_s += seconds
@@ -174,7 +177,7 @@
         Raises:
             KeyError: No counter has this name.
         """
-        _check(name, MetricKind.COUNTER)
+        _check_registered(name, MetricKind.COUNTER)
         self.counts[name] += number
         if self._client is not None:
             self._client.incr(name, number)
@@ -185,7 +188,7 @@
         Raises:
             KeyError: No gauge has this name.
         """
-        _check(name, MetricKind.GAUGE)
+        _check_registered(name, MetricKind.GAUGE)
         self.gauges[name] = value
         if self._client is not None:
             self._client.gauge(name, value)
@@ -196,11 +199,11 @@
         Raises:
             KeyError: No timing has this name.
         """
-        _check(name, MetricKind.TIMING)
+        _check_registered(name, MetricKind.TIMING)
         histogram = self.histograms.get(name)
         if histogram is None:
             histogram = self.histograms[name] = Histogram()
-        histogram.note(seconds)
+        histogram.observe(seconds)
         if self._client is not None:
             self._client.timing(name, seconds * 1000.0)
 
@@ -219,7 +222,7 @@
             self._client = None
 
 
-def _check(name: str, kind: MetricKind) -> None:
+def _check_registered(name: str, kind: MetricKind) -> None:
     metric = METRICS.get(name)
     if metric is None or metric.kind is not kind:
         raise KeyError(f"{kind.value} {name!r} is not registered in metrics.py")
--- a/knapweedarch/metrics_page.py
+++ b/knapweedarch/metrics_page.py
@@ -29,15 +29,17 @@
         families: dict[str, list[Metric]] = {}
         for metric in ALL_METRICS:
             families.setdefault(metric.exported_family, []).append(metric)
-        for name, members in families.items():
-            yield _family(self.metrics, name, members)
+        for name, family_metrics in families.items():
+            yield _create_family(self.metrics, name, family_metrics)
 
 
-def _family(metrics: Metrics, name: str, members: list[Metric]):
-    first = members[0]
-    labels = [label.name for label in first.labels]
-    family = _FAMILIES[first.kind](name, first.text, labels=labels)
-    for metric in members:
+def _create_family(metrics: Metrics, name: str, family_metrics: list[Metric]):
+    first_metric = family_metrics[0]
+    labels = [label.name for label in first_metric.labels]
+    family = _FAMILIES[first_metric.kind](
+        name, first_metric.text, labels=labels
+    )
+    for metric in family_metrics:
         values = [label.value for label in metric.labels]
         match metric.kind:
             case MetricKind.COUNTER:
--- a/knapweedarch/metrics_server.py
+++ b/knapweedarch/metrics_server.py
@@ -22,11 +22,13 @@
     task_status=anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Serves the metrics at `METRICS_PATH` until cancelled."""
-    server = InboundServer(functools.partial(_answer, metrics), clock)
+    server = InboundServer(functools.partial(_send_page, metrics), clock)
     await server.serve(listen.host, listen.port, task_status=task_status)
 
 
-async def _answer(metrics: Metrics, req: Request, responder: Responder) -> None:
+async def _send_page(
+    metrics: Metrics, req: Request, responder: Responder
+) -> None:
     if req.path != METRICS_PATH:
         await responder.send(Answer(status=404))
         return
--- a/knapweedarch/reports.py
+++ b/knapweedarch/reports.py
@@ -19,7 +19,7 @@
 
 EXIT_DONE = 0
 EXIT_REFUSED = 1
-_SIGNS = {
+_CHANGE_SIGNS = {
     ChangeKind.ADDED: "+",
     ChangeKind.REMOVED: "-",
     ChangeKind.CHANGED: "~",
@@ -96,7 +96,7 @@
     if not changes:
         lines.append("no difference" if same_text else "only comments differ")
     for change in changes:
-        lines += _change_lines(change)
+        lines += _format_change(change)
     document = {
         "result": "done",
         "version": version,
@@ -114,8 +114,8 @@
     _print(as_json, document, lines)
 
 
-def _change_lines(change: RuleChange) -> list[str]:
-    lines = [f"{_SIGNS[change.change]} {change.kind} {change.name}"]
+def _format_change(change: RuleChange) -> list[str]:
+    lines = [f"{_CHANGE_SIGNS[change.change]} {change.kind} {change.name}"]
     for field in change.fields:
         match change.change:
             case ChangeKind.ADDED:
@@ -129,7 +129,7 @@
     return lines
 
 
-def _endpoint_document(entry: EndpointEntry) -> dict:
+def _describe_endpoint(entry: EndpointEntry) -> dict:
     endpoint = entry.endpoint
     return {
         "id": endpoint.id,
@@ -144,39 +144,39 @@
     }
 
 
-def print_list(found: StatusReply, as_json: bool) -> None:
+def print_list(reply: StatusReply, as_json: bool) -> None:
     """Prints the endpoints, and in JSON the rule file as well."""
-    entries = sorted(found.endpoints, key=lambda e: e.endpoint.id)
-    endpoints = [_endpoint_document(entry) for entry in entries]
+    entries = sorted(reply.endpoints, key=lambda e: e.endpoint.id)
+    endpoints = [_describe_endpoint(entry) for entry in entries]
     document = {
-        "rules_version": found.rules_version,
-        "rules_text": found.rules_text,
+        "rules_version": reply.rules_version,
+        "rules_text": reply.rules_text,
         "endpoints": endpoints,
     }
-    shown = ("id", "status", "kind", "weights_version", "data_centre", "url")
+    columns = ("id", "status", "kind", "weights_version", "data_centre", "url")
     lines = [
-        "  ".join([*(e[key] or "-" for key in shown), ",".join(e["serves"])])
+        "  ".join([*(e[key] or "-" for key in columns), ",".join(e["serves"])])
         for e in endpoints
     ]
     _print(as_json, document, lines or ["no endpoints"])
 
 
-def print_status(found: StatusReply, as_json: bool) -> None:
+def print_status(reply: StatusReply, as_json: bool) -> None:
     """Prints who leads, who takes part and how much is stored."""
     members = [
         {"name": m.name, "identity": m.identity, "voter": m.voter}
-        for m in found.members
+        for m in reply.members
     ]
     document = {
-        "leader": found.leader,
-        "term": found.term,
-        "commit_index": found.commit_index,
-        "rules_version": found.rules_version,
-        "endpoints": len(found.endpoints),
+        "leader": reply.leader,
+        "term": reply.term,
+        "commit_index": reply.commit_index,
+        "rules_version": reply.rules_version,
+        "endpoints": len(reply.endpoints),
         "members": members,
-        "routers": list(found.routers),
-        "records": found.records,
-        "fencing_number": found.fencing_number,
+        "routers": list(reply.routers),
+        "records": reply.records,
+        "fencing_number": reply.fencing_number,
     }
     described = [
         f"{m['name']} ({'voter' if m['voter'] else 'learner'})" for m in members
@@ -184,30 +184,32 @@
     texts = {
         **document,
         "members": ", ".join(described),
-        "routers": ", ".join(found.routers) or "none",
+        "routers": ", ".join(reply.routers) or "none",
     }
     _print(
         as_json, document, [f"{key}: {value}" for key, value in texts.items()]
     )
 
 
-def print_explanation(found: Explanation, as_json: bool) -> int:
+def print_explanation(explanation: Explanation, as_json: bool) -> int:
     """Prints a request's lines; returns 1 if there are none."""
     document = {
-        "conclusion": found.conclusion,
-        "lines": [attrs.asdict(line) for line in found.lines],
-        "context": [attrs.asdict(line) for line in found.context],
+        "conclusion": explanation.conclusion,
+        "lines": [attrs.asdict(line) for line in explanation.lines],
+        "context": [attrs.asdict(line) for line in explanation.context],
     }
-    lines = [_line_text(line) for line in found.lines]
-    if found.context:
+    lines = [_format_line(line) for line in explanation.lines]
+    if explanation.context:
         lines += ["", "What was told of its process and endpoints before:"]
-        lines += [_line_text(line) for line in found.context]
-    _print(as_json, document, [*lines, "", found.conclusion])
-    return EXIT_DONE if found.lines else EXIT_REFUSED
+        lines += [_format_line(line) for line in explanation.context]
+    _print(as_json, document, [*lines, "", explanation.conclusion])
+    return EXIT_DONE if explanation.lines else EXIT_REFUSED
 
 
-def _line_text(line: LogLine) -> str:
+def _format_line(line: LogLine) -> str:
     at = datetime.datetime.fromtimestamp(line.at, datetime.UTC)
     fields = {k: v for k, v in line.fields.items() if k != "request"}
-    told = ", ".join(f"{k} {v}" for k, v in fields.items() if v not in ("", []))
-    return f"{at:%H:%M:%S.%f} {line.source} {line.event}: {told}"
+    details = ", ".join(
+        f"{k} {v}" for k, v in fields.items() if v not in ("", [])
+    )
+    return f"{at:%H:%M:%S.%f} {line.source} {line.event}: {details}"
