--- a/features/steps/command_line_steps.py
+++ b/features/steps/command_line_steps.py
@@ -23,14 +23,14 @@
 )
 
 
-class FakeControl:
+class FakeControlClient:
     """Stands for the client to the members; may lose answers."""
 
     def __init__(self):
         self.state = ControlState()
         self.reachable = True
-        self.lose_next = False
-        self.lost_error = ControlError(
+        self.lose_next_answer = False
+        self.lost_answer_error = ControlError(
             "unknown_outcome", "no control member answered"
         )
 
@@ -42,15 +42,15 @@
 
     async def submit(self, command, timeout_s):
         """Applies a command at once."""
-        self.check_reachable()
+        self.raise_if_unreachable()
         result = RESULTS.decode(self.state.apply(COMMANDS.encode(command)))
-        self.check_lost()
+        self.raise_if_answer_lost()
         return result
 
     async def status(self, timeout_s):
         """Answers from the state."""
-        self.check_reachable()
-        self.check_lost()
+        self.raise_if_unreachable()
+        self.raise_if_answer_lost()
         state = self.state
         return StatusReply(
             *("member-1", 1, 9, state.rules_version, state.rules_text),
@@ -59,25 +59,25 @@
 
     async def form(self, members):
         """Does nothing."""
-        self.check_reachable()
+        self.raise_if_unreachable()
 
-    def check_reachable(self):
+    def raise_if_unreachable(self):
         """Fails as the client does without members."""
         if not self.reachable:
             raise ControlError("unreachable", "no control member answered")
 
-    def check_lost(self):
+    def raise_if_answer_lost(self):
         """Fails as the client does after a lost answer."""
-        if self.lose_next:
-            self.lose_next = False
-            raise self.lost_error
+        if self.lose_next_answer:
+            self.lose_next_answer = False
+            raise self.lost_answer_error
 
 
 @given('members with the rules "{text}" in version 1')
-def members_with_rules(context, text):
-    context.fake = FakeControl()
+def create_members(context, text):
+    context.client = FakeControlClient()
     context.first_rules = f"{text}\n"
-    put_rules(context, 0, context.first_rules)
+    apply_rules(context, 0, context.first_rules)
     context.tool_folder = pathlib.Path(tempfile.mkdtemp())
     context.add_cleanup(shutil.rmtree, context.tool_folder)
     context.file = context.tool_folder / "test.rules"
@@ -87,53 +87,53 @@
         " members: [{name: 'member-1', host: '127.0.0.1', port: 1}]}"
     )
     create = api.control.create_control_client
-    api.control.create_control_client = lambda *arguments: context.fake
+    api.control.create_control_client = lambda *arguments: context.client
     context.add_cleanup(setattr, api.control, "create_control_client", create)
 
 
-def put_rules(context, base, text):
+def apply_rules(context, base, text):
     command = PutRules(f"other-{base}", base, text)
-    context.fake.state.apply(COMMANDS.encode(command))
+    context.client.state.apply(COMMANDS.encode(command))
 
 
 @given('a rule file with "{text}"')
 @when('the rule file is replaced by "{text}"')
-def rule_file_with(context, text):
+def write_rule_file(context, text):
     context.file.write_text(text.replace('" and "', "\n") + "\n")
 
 
 @given("the members cannot be reached")
-def unreachable(context):
-    context.fake.reachable = False
+def make_members_unreachable(context):
+    context.client.reachable = False
 
 
 @given("the next answer is lost")
-def answer_lost(context):
-    context.fake.lose_next = True
+def lose_answer(context):
+    context.client.lose_next_answer = True
 
 
 @given("the next answer is lost by a fault in the tool")
-def tool_fails(context):
-    context.fake.lose_next = True
-    context.fake.lost_error = RuntimeError("a fault in the tool")
+def fail_tool(context):
+    context.client.lose_next_answer = True
+    context.client.lost_answer_error = RuntimeError("a fault in the tool")
 
 
 @given('the members know endpoint "{name}"')
-def endpoint_known(context, name):
+def add_endpoint(context, name):
     endpoint = Endpoint(
         *(name, "i1", "http://127.0.0.1:1", EndpointKind.RUNNER),
         *(("guide",), "w1"),
     )
-    context.fake.state.apply(COMMANDS.encode(Announce(endpoint)))
+    context.client.state.apply(COMMANDS.encode(Announce(endpoint)))
 
 
 @when('another operator applies "{text}"')
-def other_operator(context, text):
-    put_rules(context, 1, f"{text}\n")
+def apply_as_other_operator(context, text):
+    apply_rules(context, 1, f"{text}\n")
 
 
 @when('the tool runs "{command}"')
-def tool_runs(context, command):
+def run_tool(context, command):
     names = {
         "FILE": str(context.file),
         "SETTINGS": str(context.tool_settings),
@@ -158,45 +158,45 @@
         context.request_id = found[1]
 
 
-def check_exit(context, code):
+def check_exit_code(context, code):
     seen = (context.exit_code, context.out, context.err)
     assert context.exit_code == code, seen
 
 
 @then('it exits with {code:d} and prints "{text}"')
-def exits_and_prints(context, code, text):
-    check_exit(context, code)
+def check_exit_and_output(context, code, text):
+    check_exit_code(context, code)
     assert text in context.out, (context.out, context.err)
 
 
 @then('it exits with {code:d} and warns "{text}"')
-def exits_and_warns(context, code, text):
-    check_exit(context, code)
+def check_exit_and_warning(context, code, text):
+    check_exit_code(context, code)
     assert text in context.err, (context.out, context.err)
 
 
 @then('it prints "{text}"')
-def prints(context, text):
+def check_output(context, text):
     assert text in context.out, context.out
 
 
 @then('it warns "{text}"')
-def warns(context, text):
+def check_warning(context, text):
     assert text in context.err, context.err
 
 
 @then("its output is the rule file of version 1")
-def prints_rules(context):
-    check_exit(context, 0)
+def check_output_is_rules(context):
+    check_exit_code(context, 0)
     assert context.out == context.first_rules, context.out
 
 
 @then('it exits with {code:d} and its output is JSON with "{key}"')
-def exits_with_json(context, code, key):
-    check_exit(context, code)
+def check_exit_and_json(context, code, key):
+    check_exit_code(context, code)
     assert key in json.loads(context.out), context.out
 
 
 @then("the members hold version {version:d}")
-def members_hold(context, version):
-    assert context.fake.state.rules_version == version
+def check_rules_version(context, version):
+    assert context.client.state.rules_version == version
--- a/features/steps/observability_steps.py
+++ b/features/steps/observability_steps.py
@@ -16,23 +16,23 @@
 from knapweedarch.settings import Address
 from knapweedarch.timers import Clock, ManualClock
 
-FIRST, OTHER = "request_sent", "stream_ended"
+FIRST_EVENT, OTHER_EVENT = "request_sent", "stream_ended"
 LONG_TEXT = "x" * 200
 
 
-def handler():
+def get_handler():
     (found,) = logs._logger.handlers
     return found
 
 
 @given("logs that go to memory")
-def logs_to_memory(context):
+def log_to_memory(context):
     context.log_stream = io.StringIO()
     logs.setup_logging("info", context.log_stream)
-    context.log_clock = handler()._clock = ManualClock(10.0)
+    context.log_clock = get_handler()._clock = ManualClock(10.0)
 
 
-def names_in(text: str) -> list[str]:
+def parse_event_names(text: str) -> list[str]:
     return [json.loads(line)["event_name"] for line in text.splitlines()]
 
 
@@ -40,34 +40,37 @@
     "{many:d} lines of one event and {few:d} of another are logged within a"
     " second"
 )
-def many_lines(context, many, few):
+def log_lines_of_two_events(context, many, few):
     for _ in range(many):
-        logs.log(FIRST)
+        logs.log(FIRST_EVENT)
     for _ in range(few):
-        logs.log(OTHER)
+        logs.log(OTHER_EVENT)
 
 
 @when("a line is logged {later:f} s later")
-def line_later(context, later):
+def log_line_later(context, later):
     context.log_clock.time += later
     logs.log("started")
 
 
 @then("{first:d} lines of the first and {other:d} of the other were written")
-def lines_written(context, first, other):
-    names = names_in(context.log_stream.getvalue())
-    assert (names.count(FIRST), names.count(OTHER)) == (first, other)
+def check_lines_written(context, first, other):
+    names = parse_event_names(context.log_stream.getvalue())
+    assert (names.count(FIRST_EVENT), names.count(OTHER_EVENT)) == (
+        first,
+        other,
+    )
 
 
 @then("{count:d} lines of the first are told as left out")
-def lines_left_out(context, count):
+def check_dropped_lines(context, count):
     lines = map(json.loads, context.log_stream.getvalue().splitlines())
-    (told,) = [x for x in lines if x["event_name"] == "lines_left_out"]
-    assert told["fields"] == {"lines": {FIRST: count}}, told
+    (summary,) = [x for x in lines if x["event_name"] == "lines_left_out"]
+    assert summary["fields"] == {"lines": {FIRST_EVENT: count}}, summary
 
 
 @given("logs that go to a pipe that nobody reads")
-def logs_to_pipe(context):
+def log_to_unread_pipe(context):
     reader, writer = os.pipe()
     context.pipe = reader
     stream = os.fdopen(writer, "w")
@@ -75,12 +78,12 @@
     context.add_cleanup(os.close, reader)
     # The bound per second is another scenario's; this one fills the pipe.
     logs.setup_logging("info", stream)
-    handler()._rate_limiter.max_lines = 1_000_000
+    get_handler()._rate_limiter.max_lines = 1_000_000
     context.add_cleanup(logs.setup_logging, "info", io.StringIO())
 
 
 @when("a caller sends {count:d} requests that each log 4 lines")
-def sends_many(context, count):
+def send_logged_requests(context, count):
     async def run():
         context.answers, context.latest_s = [], 0.0
         async with open_proxy() as site:
@@ -92,19 +95,19 @@
                 context.latest_s = max(context.latest_s, taken_s)
                 context.answers.append(answer.status)
                 for _ in range(2):
-                    logs.log(OTHER, detail=LONG_TEXT)
+                    logs.log(OTHER_EVENT, detail=LONG_TEXT)
 
     anyio.run(run)
 
 
 @then("all of them are answered, none later than {limit:f} s")
-def all_answered(context, limit):
+def check_all_answered(context, limit):
     assert set(context.answers) == {200}, context.answers
     assert context.latest_s <= limit, context.latest_s
 
 
 @when("the pipe is read again and a line is logged")
-def pipe_read(context):
+def read_pipe(context):
     os.set_blocking(context.pipe, False)
     context.piped = b""
     for _ in range(100):
@@ -112,41 +115,41 @@
         with contextlib.suppress(BlockingIOError):
             while data := os.read(context.pipe, 65_536):
                 context.piped += data
-    handler()._clock = ManualClock(handler()._clock.now() + 2.0)
+    get_handler()._clock = ManualClock(get_handler()._clock.now() + 2.0)
     logs.log("started")
     with contextlib.suppress(BlockingIOError):
         context.piped += os.read(context.pipe, 65_536)
 
 
 @then("the pipe held whole lines only")
-def whole_lines(context):
+def check_complete_lines(context):
     assert context.piped.endswith(b"\n")
-    assert len(names_in(context.piped.decode())) > 100
+    assert len(parse_event_names(context.piped.decode())) > 100
 
 
 @then("lines are told as left out")
-def told_left_out(context):
-    assert "lines_left_out" in names_in(context.piped.decode())
+def check_pipe_dropped_lines(context):
+    assert "lines_left_out" in parse_event_names(context.piped.decode())
 
 
 @given("a metrics server")
-def metrics_server(context):
+def create_test_metrics(context):
     context.metrics = create_metrics(None, 0, "test")
 
 
 @when('"{name}" is counted {count:d} times')
-def counted(context, name, count):
+def count_metric(context, name, count):
     context.metrics.count(name, count)
 
 
 @when('"{name}" took {one:f} s and {two:f} s')
-def took(context, name, one, two):
+def record_timings(context, name, one, two):
     context.metrics.timing(name, one)
     context.metrics.timing(name, two)
 
 
 @when('gauge "{name}" is {value:f}')
-def gauge_is(context, name, value):
+def set_gauge(context, name, value):
     context.metrics.gauge(name, value)
 
 
@@ -177,7 +180,7 @@
 
 
 @then('the page at "{path}" holds')
-def page_holds(context, path):
+def check_page(context, path):
     lines = fetch(context, path).splitlines()
     assert lines[0].startswith("HTTP/1.1 200"), lines[0]
     missing = [row["line"] for row in context.table if row["line"] not in lines]
@@ -185,12 +188,12 @@
 
 
 @then('the page at "{path}" is missing')
-def page_missing(context, path):
+def check_page_missing(context, path):
     assert fetch(context, path).startswith("HTTP/1.1 404")
 
 
 @then('the histogram "{name}" holds 1 request')
-def histogram_holds(context, name):
+def check_histogram(context, name):
     histograms = context.site_metrics.histograms
     held = {k: h.buckets()[-1][1] for k, h in histograms.items()}
     ends = {k: n for k, n in held.items() if k.startswith("answer_time")}
@@ -198,11 +201,11 @@
 
 
 @then('the log tells "{name}"')
-def log_tells(context, name):
-    assert name in names_in(context.log_stream.getvalue())
+def check_event_logged(context, name):
+    assert name in parse_event_names(context.log_stream.getvalue())
 
 
-def line(second: float, source: str, event: str, **fields) -> str:
+def format_line(second: float, source: str, event: str, **fields) -> str:
     """A line as a collector writes it, with its process before it."""
     document = {
         "event_name": event,
@@ -212,14 +215,14 @@
     return f"{second:.3f} {source} {json.dumps(document)}"
 
 
-def sent(endpoint: str, second: float) -> str:
-    return line(
+def sent_line(endpoint: str, second: float) -> str:
+    return format_line(
         *(second, "front-1", "request_sent"), request="r1", endpoint=endpoint
     )
 
 
-def closed(endpoint: str, second: float) -> str:
-    return line(
+def closed_line(endpoint: str, second: float) -> str:
+    return format_line(
         *(second, "front-1", "attempt_ended"),
         request="r1",
         endpoint=endpoint,
@@ -227,8 +230,8 @@
     )
 
 
-def given_up(reason: str, status: int) -> str:
-    return line(
+def given_up_line(reason: str, status: int) -> str:
+    return format_line(
         *(3.0, "front-1", "request_given_up"),
         request="r1",
         reason=reason,
@@ -236,8 +239,8 @@
     )
 
 
-def answered(status: int, *tried: str) -> str:
-    return line(
+def answered_line(status: int, *tried: str) -> str:
+    return format_line(
         *(3.1, "front-1", "request_answered"),
         request="r1",
         status=status,
@@ -246,20 +249,27 @@
     )
 
 
-ENDS = {
+REQUEST_LINES = {
     "was answered": [
-        *(sent("i-1", 1.0), closed("i-1", 2.0), sent("i-2", 2.1)),
-        answered(200, "i-1", "i-2"),
+        *(
+            sent_line("i-1", 1.0),
+            closed_line("i-1", 2.0),
+            sent_line("i-2", 2.1),
+        ),
+        answered_line(200, "i-1", "i-2"),
+    ],
+    "found no endpoint": [
+        given_up_line("no_capacity", 503),
+        answered_line(503),
     ],
-    "found no endpoint": [given_up("no_capacity", 503), answered(503)],
     "has no outcome": [
-        *(sent("i-1", 1.0), closed("i-1", 2.0)),
-        *(given_up("outcome_unknown", 502), answered(502, "i-1")),
+        *(sent_line("i-1", 1.0), closed_line("i-1", 2.0)),
+        *(given_up_line("outcome_unknown", 502), answered_line(502, "i-1")),
     ],
     "broke off": [
-        *(sent("i-1", 1.0), closed("i-1", 2.0)),
-        *(sent("i-2", 2.1), closed("i-2", 2.5)),
-        line(
+        *(sent_line("i-1", 1.0), closed_line("i-1", 2.0)),
+        *(sent_line("i-2", 2.1), closed_line("i-2", 2.5)),
+        format_line(
             *(2.6, "front-1", "stream_ended"),
             request="r1",
             outcome="broken_off",
@@ -270,30 +280,32 @@
         ),
     ],
     "came too early": [
-        line(
+        format_line(
             *(1.0, "front-1", "request_refused_early"),
             request="r1",
             reason="lease_expired",
             status=503,
         )
     ],
-    "lost its router": [sent("i-1", 1.0)],
+    "lost its router": [sent_line("i-1", 1.0)],
     "nobody saw": [],
 }
-AROUND = [
-    line(1.9, "core-1", "endpoint_status", endpoint="i-1", status="silent"),
-    line(2.2, "front-1", "lease_expired"),
-    line(2.2, "front-2", "lease_expired"),
-    line(2.2, "front-2", "endpoint_known", endpoint="i-1"),
-    line(2.3, "front-1", "request_sent", request="r2", endpoint="i-1"),
+OTHER_LINES = [
+    format_line(
+        1.9, "core-1", "endpoint_status", endpoint="i-1", status="silent"
+    ),
+    format_line(2.2, "front-1", "lease_expired"),
+    format_line(2.2, "front-2", "lease_expired"),
+    format_line(2.2, "front-2", "endpoint_known", endpoint="i-1"),
+    format_line(2.3, "front-1", "request_sent", request="r2", endpoint="i-1"),
     "a line of another program",
     '{"event_name": "cut off',
 ]
 
 
 @given("the log lines of a request that {end}")
-def log_lines(context, end):
-    lines = [*AROUND, *ENDS[end]]
+def write_log_files(context, end):
+    lines = [*OTHER_LINES, *REQUEST_LINES[end]]
     context.log_paths = []
     # Each process has its own file, and files come in any order.
     for number in (1, 0):
@@ -304,7 +316,7 @@
 
 
 @when("the tool explains the request")
-def tool_explains(context):
+def run_explain(context):
     out = io.StringIO()
     with contextlib.redirect_stdout(out):
         context.code = cli.run(["explain", "r1", *context.log_paths])
@@ -312,18 +324,18 @@
 
 
 @then('it exits with {code:d} and the last line is "{conclusion}"')
-def last_line(context, code, conclusion):
+def check_conclusion(context, code, conclusion):
     assert context.code == code, context.code
     assert context.output.splitlines()[-1] == conclusion, context.output
 
 
 @then('it shows "{of_member}" of a member and "{of_router}" of its router')
-def shows(context, of_member, of_router):
+def check_context(context, of_member, of_router):
     assert f"core-1 {of_member}" in context.output, context.output
     assert f"front-1 {of_router}" in context.output, context.output
 
 
 @then("it shows nothing of other routers and other requests")
-def shows_no_others(context):
+def check_no_other_lines(context):
     assert "front-2" not in context.output, context.output
     assert "r2" not in context.output, context.output
--- a/features/steps/platform_site_steps.py
+++ b/features/steps/platform_site_steps.py
@@ -11,11 +11,11 @@
 from standins.platform_runner import count_runs
 from standins.platform_site import configuration, open_site
 
-SCENARIO_S = 60.0
+SCENARIO_TIMEOUT_S = 60.0
 EVENT = re.compile(r"id: (\d+)\n")
 
 
-class Script:
+class ScenarioPlan:
     """What a scenario does while its site is up.
 
     A site lives in one event loop, so the steps collect actions and the last
@@ -32,20 +32,20 @@
     def run(self, check):
         """Plays the actions, then the check."""
 
-        async def play():
-            async with open_site(*self.shape, SCENARIO_S) as site:
+        async def run_actions():
+            async with open_site(*self.shape, SCENARIO_TIMEOUT_S) as site:
                 for action in self.actions:
                     await action(site)
                 await check(site)
 
-        anyio.run(play)
+        anyio.run(run_actions)
 
 
-def proxy(number):
+def proxy_name(number):
     return f"proxy-{1 + number % 2}"
 
 
-def is_whole(answer, tokens):
+def is_complete(answer, tokens):
     numbers = [int(n) for n in EVENT.findall(answer.text)]
     return answer.status_code == 200 and numbers == list(range(1, tokens + 1))
 
@@ -54,36 +54,38 @@
     "a platform site of {members:d} members, {proxies:d} proxies and"
     " {runners:d} runners"
 )
-def platform_site(context, members, proxies, runners):
-    context.script = Script(members, proxies, runners)
+def plan_site(context, members, proxies, runners):
+    context.plan = ScenarioPlan(members, proxies, runners)
 
 
 @given("configuration {version:d} with a route more is confirmed")
-def later_configuration(context, version):
-    script = context.script
-    script.expected = configuration(version, "seats")
+def put_configuration(context, version):
+    plan = context.plan
+    plan.expected = configuration(version, "seats")
 
     async def action(site):
-        status = await site.order("PUT", "/api/config", script.expected)
+        status = await site.call_control("PUT", "/api/config", plan.expected)
         assert status == 200, status
 
-    script.actions.append(action)
+    plan.actions.append(action)
 
 
 @when(
     "{streams:d} streams of {tokens:d} tokens and {bookings:d} bookings are"
     " asked for"
 )
-def asked_for(context, streams, tokens, bookings):
-    script = context.script
-    script.tokens = tokens
+def send_streams_and_bookings(context, streams, tokens, bookings):
+    plan = context.plan
+    plan.tokens = tokens
 
     async def stream(site, number):
-        answer = await site.ask(proxy(number), "/chat/x", tokens)
-        script.streams.append(answer)
+        answer = await site.send_request(proxy_name(number), "/chat/x", tokens)
+        plan.streams.append(answer)
 
     async def book(site, number):
-        script.bookings.append(await site.ask(proxy(number), "/booking/x"))
+        plan.bookings.append(
+            await site.send_request(proxy_name(number), "/booking/x")
+        )
 
     async def action(site):
         async with anyio.create_task_group() as group:
@@ -92,50 +94,54 @@
             for number in range(bookings):
                 group.start_soon(book, site, number)
 
-    script.actions.append(action)
+    plan.actions.append(action)
 
 
 @when(
     "{count:d} streams of {tokens:d} tokens are asked for one after the other"
 )
-def asked_in_turn(context, count, tokens):
+def send_streams_in_turn(context, count, tokens):
     async def action(site):
         for number in range(count):
-            answer = await site.ask(proxy(number), "/chat/x", tokens)
-            assert is_whole(answer, tokens), answer.text
+            answer = await site.send_request(
+                proxy_name(number), "/chat/x", tokens
+            )
+            assert is_complete(answer, tokens), answer.text
 
-    context.script.actions.append(action)
+    context.plan.actions.append(action)
 
 
 @when("weights {version:d} are named while streams go on")
-def weights_named(context, version):
-    script = context.script
-    script.tokens = 15
+def put_weights_version(context, version):
+    plan = context.plan
+    plan.tokens = 15
 
     async def stream(site):
         for number in range(12):
-            answer = await site.ask(proxy(number), "/chat/x", script.tokens)
-            script.streams.append(answer)
+            answer = await site.send_request(
+                proxy_name(number), "/chat/x", plan.tokens
+            )
+            plan.streams.append(answer)
 
     async def action(site):
-        script.ended = anyio.Event()
+        plan.ended = anyio.Event()
 
         async def streams():
             async with anyio.create_task_group() as group:
                 for _ in range(3):
                     group.start_soon(stream, site)
-            script.ended.set()
+            plan.ended.set()
 
         site._group.start_soon(streams)
         named = {"model": "guide", "version": version}
-        assert await site.order("POST", "/api/version-put", named) == 200
+        assert await site.call_control("POST", "/api/version-put", named) == 200
 
-    script.actions.append(action)
+    plan.actions.append(action)
 
 
 @then("every runner has weights {version:d} within {limit:f} s")
-def runners_reach(context, version, limit):
-    script = context.script
+def check_runner_weights(context, version, limit):
+    plan = context.plan
 
     async def action(site):
         async def reached():
@@ -143,146 +149,146 @@
             return all(r.weights == version for r in models)
 
         await site.wait(reached, limit)
-        await script.ended.wait()
+        await plan.ended.wait()
 
-    script.actions.append(action)
+    plan.actions.append(action)
 
 
 @then("each stream is whole")
-def streams_whole(context):
-    script = context.script
+def check_streams(context):
+    plan = context.plan
 
     async def check(site):
-        assert script.streams
-        for answer in script.streams:
-            assert is_whole(answer, script.tokens), answer.text
-        context.exit_codes = await exit_codes(site, script)
+        assert plan.streams
+        for answer in plan.streams:
+            assert is_complete(answer, plan.tokens), answer.text
+        context.exit_codes = await wait_for_exit_codes(site, plan)
 
-    script.run(check)
+    plan.run(check)
 
 
-async def exit_codes(site, script):
+async def wait_for_exit_codes(site, plan):
     """Waits for the processes that the scenario stopped."""
     codes = {}
-    for name in getattr(script, "stopped", ()):
+    for name in getattr(plan, "stopped", ()):
         popen = site.processes[name].popen
         codes[name] = await anyio.to_thread.run_sync(popen.wait)
     return codes
 
 
 @then("each stream is whole and each booking was run once")
-def whole_and_once(context):
-    script = context.script
+def check_streams_and_bookings(context):
+    plan = context.plan
 
     async def action(site):
         runs = count_runs(site.runners)
-        for answer in script.streams:
-            assert is_whole(answer, script.tokens), answer.text
-        for answer in script.bookings:
+        for answer in plan.streams:
+            assert is_complete(answer, plan.tokens), answer.text
+        for answer in plan.bookings:
             assert answer.status_code == 200, answer.text
             assert runs[answer.json()["request"]] == 1
         customers = {r.customer for x in site.runners for r in x.runs}
         assert customers == {"huts"}, customers
 
-    script.actions.append(action)
+    plan.actions.append(action)
 
 
 @then("the configuration is read back as it was sent")
-def read_back(context):
-    script = context.script
+def check_configuration(context):
+    plan = context.plan
 
     async def check(site):
-        assert await site.order("GET", "/api/config") == 200
-        assert site.answer.json() == script.expected
+        assert await site.call_control("GET", "/api/config") == 200
+        assert site.answer.json() == plan.expected
 
-    script.run(check)
+    plan.run(check)
 
 
 @then("less than half of the prompts' tokens were read")
-def half_read(context):
+def check_computed_tokens(context):
     async def check(site):
         runs = [r for x in site.runners if x.model for r in x.runs]
-        read = sum(r.read_tokens for r in runs)
+        read = sum(r.computed_tokens for r in runs)
         assert read < 0.5 * 5090 * len(runs), read
 
-    context.script.run(check)
+    context.plan.run(check)
 
 
 @when("every process is killed and started again")
-def restart_all(context):
+def kill_and_restart_all(context):
     async def action(site):
         site.restart_all()
 
-    context.script.actions.append(action)
+    context.plan.actions.append(action)
 
 
 @then("a request on the new route is answered within {limit:f} s")
-def answered_within(context, limit):
+def check_answered_within(context, limit):
     async def action(site):
         async def answered():
             if not await site.is_ready("proxy-1"):
                 return False
-            answer = await site.ask("proxy-1", "/seats/x")
+            answer = await site.send_request("proxy-1", "/seats/x")
             return answer.status_code == 200
 
         context.taken_s = await site.wait(answered, limit)
 
-    context.script.actions.append(action)
+    context.plan.actions.append(action)
 
 
 @when("runner {number:d} leaves and that is confirmed")
-def runner_leaves(context, number):
+def drain_runner(context, number):
     async def action(site):
         site.runners[number - 1].leaving = True
-        await site.runners[number - 1].left.wait()
+        await site.runners[number - 1].leave_confirmed.wait()
 
-    context.script.actions.append(action)
+    context.plan.actions.append(action)
 
 
 @then("{later:f} s later runner {number:d} gets none of {count:d} streams")
-def gets_none(context, later, number, count):
+def check_no_new_streams(context, later, number, count):
     async def check(site):
         await anyio.sleep(later)
         runner = site.runners[number - 1]
         before = len(runner.runs)
         for turn in range(count):
-            answer = await site.ask(proxy(turn), "/chat/x", 2)
-            assert is_whole(answer, 2), answer.text
+            answer = await site.send_request(proxy_name(turn), "/chat/x", 2)
+            assert is_complete(answer, 2), answer.text
         assert len(runner.runs) == before
 
-    context.script.run(check)
+    context.plan.run(check)
 
 
 @when("proxy {number:d} gets SIGTERM during a stream of {tokens:d} tokens")
-def stopped_in_stream(context, number, tokens):
-    script = context.script
-    script.tokens, name = tokens, f"proxy-{number}"
-    script.stopped = (name,)
+def stop_proxy_during_stream(context, number, tokens):
+    plan = context.plan
+    plan.tokens, name = tokens, f"proxy-{number}"
+    plan.stopped = (name,)
 
     async def action(site):
         async def stream():
-            answer = await site.ask(name, "/chat/x", tokens)
-            script.streams.append(answer)
+            answer = await site.send_request(name, "/chat/x", tokens)
+            plan.streams.append(answer)
 
         async with anyio.create_task_group() as group:
             group.start_soon(stream)
 
-            async def begun():
+            async def started():
                 return any(r.runs for r in site.runners)
 
-            await site.wait(begun)
+            await site.wait(started)
             site.terminate(name)
 
-    script.actions.append(action)
+    plan.actions.append(action)
 
 
 @then("proxy {number:d} ends with code {code:d}")
-def proxy_ends(context, number, code):
+def check_proxy_exit_code(context, number, code):
     assert context.exit_codes == {f"proxy-{number}": code}
 
 
 @then("the tool tells where request {number:d} was answered")
-def tool_tells(context, number):
+def check_explanation(context, number):
     async def check(site):
         logs = [str(path) for path in site.folder.glob("*.log")]
         out = io.StringIO()
@@ -292,4 +298,4 @@
         assert code == 0, out.getvalue()
         assert last.startswith("a whole stream of 3 events at proxy-"), last
 
-    context.script.run(check)
+    context.plan.run(check)
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -194,7 +194,7 @@
     spec = importlib.util.spec_from_file_location("check_catalogues", script)
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
-    module.FOLDERS = (context.package,)
+    module.SOURCE_DIRECTORIES = (context.package,)
     faults, unused = module.check_uses()
     places = [fault.split()[0] for fault in faults]
     assert places == ["bad.py:1", "bad.py:2"], faults
--- a/scripts/check_catalogues.py
+++ b/scripts/check_catalogues.py
@@ -19,7 +19,7 @@
 from knapweedarch.metrics import METRICS, MetricKind  # noqa: E402
 
 PACKAGE = ROOT / "knapweedarch"
-FOLDERS = (PACKAGE, ROOT / "platform" / "adapter")
+SOURCE_DIRECTORIES = (PACKAGE, ROOT / "platform" / "adapter")
 REGISTRIES = {"events.py", "metrics.py"}
 LOG_CALLS = {"log", "create_record"}
 METRIC_CALLS = {"count", "gauge", "timing"}
@@ -36,10 +36,10 @@
     call: str
     receiver: str
     name: str
-    whole: bool
+    complete: bool
 
 
-def uses(path: pathlib.Path) -> Iterator[Use]:
+def find_uses(path: pathlib.Path) -> Iterator[Use]:
     """Finds the calls of one module that may log or count."""
     for node in ast.walk(ast.parse(path.read_text())):
         match node:
@@ -48,8 +48,8 @@
                 args=[first, *_],
             ) if call in LOG_CALLS | METRIC_CALLS:
                 place = f"{path.name}:{node.lineno}"
-                for name, whole in names(first):
-                    yield Use(place, call, receiver(func), name, whole)
+                for name, complete in possible_names(first):
+                    yield Use(place, call, receiver(func), name, complete)
 
 
 def receiver(func: ast.expr) -> str:
@@ -60,7 +60,7 @@
     return ""
 
 
-def names(node: ast.expr) -> Iterator[tuple[str, bool]]:
+def possible_names(node: ast.expr) -> Iterator[tuple[str, bool]]:
     """Returns the names that an argument can have, as far as it shows."""
     match node:
         case ast.Constant(value=str(name)):
@@ -68,29 +68,35 @@
         case ast.JoinedStr(values=[ast.Constant(value=str(start)), *_]):
             yield start, False
         case ast.IfExp(body=body, orelse=orelse):
-            yield from names(body)
-            yield from names(orelse)
+            yield from possible_names(body)
+            yield from possible_names(orelse)
 
 
 def check_uses() -> tuple[list[str], set[str]]:
     """Returns the faults, and the registered names that are not used."""
     faults: list[str] = []
     unused = set(EVENTS) | set(METRICS)
-    paths = [path for folder in FOLDERS for path in folder.glob("*.py")]
+    paths = [
+        path
+        for directory in SOURCE_DIRECTORIES
+        for path in directory.glob("*.py")
+    ]
     for path in sorted(paths):
         if path.name in REGISTRIES:
             continue
-        for use in uses(path):
+        for use in find_uses(path):
             known = EVENTS if use.call in LOG_CALLS else METRICS
             found = {
                 name
                 for name in known
                 if name == use.name
-                or (not use.whole and name.startswith(use.name))
+                or (not use.complete and name.startswith(use.name))
             }
             unused -= found
-            counts = use.call in LOG_CALLS or use.receiver in METRIC_RECEIVERS
-            if not found and counts:
+            must_be_registered = (
+                use.call in LOG_CALLS or use.receiver in METRIC_RECEIVERS
+            )
+            if not found and must_be_registered:
                 faults.append(
                     f"{use.place} uses {use.name!r}, which is not registered"
                 )
@@ -130,12 +136,12 @@
         "[OPERATORS.md](OPERATORS.md) for what to do about them.",
     ]
     for kind in MetricKind:
-        shown = [m for m in METRICS.values() if m.kind is kind]
-        if not shown:
+        kind_metrics = [m for m in METRICS.values() if m.kind is kind]
+        if not kind_metrics:
             continue
         lines += ["", f"## {kind.value.capitalize()}s", ""]
         lines += ["| Name | Meaning |", "|---|---|"]
-        lines += [f"| `{m.name}` | {m.text} |" for m in shown]
+        lines += [f"| `{m.name}` | {m.text} |" for m in kind_metrics]
     return "\n".join(lines) + "\n"
 
 
--- a/scripts/check_core.py
+++ b/scripts/check_core.py
@@ -32,9 +32,9 @@
 RANDOM_ALLOWED = {"Random"}
 
 
-def faults(path: pathlib.Path) -> list[str]:
+def find_violations(path: pathlib.Path) -> list[str]:
     """Lists the forbidden imports and calls of one module."""
-    found = []
+    violations = []
     for node in ast.walk(ast.parse(path.read_text())):
         match node:
             case ast.Import(names=names):
@@ -43,23 +43,30 @@
                 roots = {module.split(".")[0]}
             case ast.Attribute(value=ast.Name(id="random"), attr=attr):
                 if attr not in RANDOM_ALLOWED:
-                    found.append(f"{path.name}:{node.lineno} random.{attr}")
+                    violations.append(
+                        f"{path.name}:{node.lineno} random.{attr}"
+                    )
                 continue
             case _:
                 continue
-        found += [
+        violations += [
             f"{path.name}:{node.lineno} imports {root}"
             for root in sorted(roots & FORBIDDEN)
         ]
-    return found
+    return violations
 
 
 def main() -> int:
     """Checks every core module that exists; returns the exit code."""
     paths = [PACKAGE / f"{name}.py" for name in CORE]
-    found = [fault for p in paths if p.exists() for fault in faults(p)]
-    print("\n".join(found))
-    return 1 if found else 0
+    violations = [
+        violation
+        for p in paths
+        if p.exists()
+        for violation in find_violations(p)
+    ]
+    print("\n".join(violations))
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -11,18 +11,20 @@
 from standins.deployment import CREDENTIAL, Deployment
 
 KEY = "counter-tablet-key"
-DIGEST = hashlib.sha256(KEY.encode()).hexdigest()
+KEY_DIGEST = hashlib.sha256(KEY.encode()).hexdigest()
 RULES = f"""\
 model guide version=w1 first_token=2.0  # asked by Tesfaye: chat assistant
 service booking once=/deposits timeout=3  # asked by Hirut: deposits
-customer counter key=sha256:{DIGEST} class=guest rate=100  # asked by Almaz
+customer counter key=sha256:{KEY_DIGEST} class=guest rate=100  # asked by Almaz
 """
-MORE_RULES = RULES + "service desk2 timeout=2  # asked by Hirut: second desk\n"
+EXTENDED_RULES = (
+    RULES + "service desk2 timeout=2  # asked by Hirut: second desk\n"
+)
 PROMPT = "Which route leads to the Sanetti plateau? " * 20
 HEADERS = {"authorization": f"Bearer {KEY}"}
 
 
-def step(text: str) -> None:
+def print_heading(text: str) -> None:
     """Prints a heading."""
     print(f"\n== {text}", flush=True)
 
@@ -41,7 +43,7 @@
         "max_tokens": max_tokens,
         "messages": [{"role": "user", "content": PROMPT}],
     }
-    text, ended = "", False
+    text, completed = "", False
     with httpx.stream(
         "POST",
         f"{url}/v1/chat/completions",
@@ -54,17 +56,17 @@
             raise SystemExit(f"demo failed: {answer.text}")
         for line in answer.iter_lines():
             if line == "data: [DONE]":
-                ended = True
+                completed = True
             elif line.startswith("data: "):
                 chunk = json.loads(line[6:])
                 for choice in chunk.get("choices", []):
                     text += choice.get("delta", {}).get("content") or ""
                 if on_chunk:
                     on_chunk(text)
-    return text, ended
+    return text, completed
 
 
-def tool(cluster: Deployment, *arguments: str) -> str:
+def run_tool(cluster: Deployment, *arguments: str) -> str:
     """Runs the command-line tool and prints what it prints."""
     done = cluster.tool(*arguments)
     print(f"$ knapweedarch {' '.join(arguments)}\n{done.stdout}", end="")
@@ -72,17 +74,17 @@
     return done.stdout
 
 
-def start(cluster: Deployment) -> None:
+def start_deployment(cluster: Deployment) -> None:
     """Starts all processes and puts the first rule file in force."""
     for member in cluster.members:
         cluster.start_member(member["name"])
-    tool(cluster, "form")
+    run_tool(cluster, "form")
     for name in ("router-1", "router-2"):
         cluster.start_router(name)
     rules = cluster.folder / "rules.txt"
     rules.write_text(RULES)
-    tool(cluster, "check", str(rules))
-    tool(cluster, "apply", str(rules))
+    run_tool(cluster, "check", str(rules))
+    run_tool(cluster, "apply", str(rules))
     for i in (1, 2, 3):
         cluster.start_runner(
             f"runner-{i}", "guide", data_centre=f"dc-{i}", token_ms=10
@@ -90,16 +92,16 @@
     cluster.start_desk("desk-1", "booking", data_centre="dc-1")
     for name in ("router-1", "router-2"):
         cluster.wait_ready(name)
-    cluster.wait_for("endpoints known", lambda: endpoints(cluster) == 4)
+    cluster.wait_for("endpoints known", lambda: count_endpoints(cluster) == 4)
 
 
-def endpoints(cluster: Deployment) -> int:
+def count_endpoints(cluster: Deployment) -> int:
     """Counts the endpoints that the members know."""
     done = cluster.tool("list", "--json")
     return len(json.loads(done.stdout)["endpoints"]) if done.stdout else 0
 
 
-def deposit(cluster: Deployment, router: str) -> httpx.Response:
+def post_deposit(cluster: Deployment, router: str) -> httpx.Response:
     """Takes a deposit under a fixed idempotency key."""
     return httpx.post(
         f"{cluster.url(router)}/services/booking/deposits",
@@ -111,7 +113,7 @@
 
 def show_deposit(cluster: Deployment) -> None:
     """Sends one deposit through both routers."""
-    first, second = (deposit(cluster, r) for r in ("router-1", "router-2"))
+    first, second = (post_deposit(cluster, r) for r in ("router-1", "router-2"))
     print(first.status_code, first.text)
     print(second.status_code, second.text)
     check(first.status_code == 200, "the deposit was refused")
@@ -121,12 +123,12 @@
     check(sum(stats["runs"].values()) == 1, "the desk ran it more than once")
 
 
-def show_killed_runner(cluster: Deployment, whole: str) -> None:
+def show_killed_runner(cluster: Deployment, expected_text: str) -> None:
     """Kills the runner that streams, and compares the caller's text."""
     killed = []
 
-    def kill_in_mid_stream(text: str) -> None:
-        if killed or len(text) < len(whole) // 3:
+    def kill_streaming_runner(text: str) -> None:
+        if killed or len(text) < len(expected_text) // 3:
             return
         for name in [n for n in cluster.processes if n.startswith("runner")]:
             stats = httpx.get(f"{cluster.url(name)}/stats").json()
@@ -135,20 +137,22 @@
                 killed.append(name)
                 return
 
-    text, ended = stream_chat(cluster.url("router-1"), 120, kill_in_mid_stream)
+    text, completed = stream_chat(
+        cluster.url("router-1"), 120, kill_streaming_runner
+    )
     print(f"killed {killed}; the caller got {len(text)} characters")
     check(bool(killed), "no runner was killed in mid-stream")
-    check(ended and text == whole, "the text is not whole")
+    check(completed and text == expected_text, "the text is not whole")
 
 
-def show_drain(cluster: Deployment) -> None:
+def show_retirement(cluster: Deployment) -> None:
     """Retires a runner and shows that it gets no new work."""
-    tool(cluster, "retire", "runner-1")
+    run_tool(cluster, "retire", "runner-1")
     before = httpx.get(f"{cluster.url('runner-1')}/stats").json()["runs"]
     for _ in range(6):
         for router in ("router-1", "router-2"):
-            _, ended = stream_chat(cluster.url(router), 5)
-            check(ended, "a stream was cut after retire")
+            _, completed = stream_chat(cluster.url(router), 5)
+            check(completed, "a stream was cut after retire")
     after = httpx.get(f"{cluster.url('runner-1')}/stats").json()["runs"]
     print(f"runner-1 ran {before} before and {after} after 12 more requests")
     check(before == after, "a retired runner got new work")
@@ -156,34 +160,38 @@
 
 def run(cluster: Deployment) -> None:
     """Runs all steps."""
-    step("3 members, 2 routers, 3 runners and a desk as separate processes")
-    start(cluster)
-    step("A streamed answer")
-    whole, ended = stream_chat(cluster.url("router-1"), 120)
-    print(whole[:70] + " ...")
-    check(ended and bool(whole), "the stream did not end properly")
-    step("A deposit sent twice, taken once")
+    print_heading(
+        "3 members, 2 routers, 3 runners and a desk as separate processes"
+    )
+    start_deployment(cluster)
+    print_heading("A streamed answer")
+    expected_text, completed = stream_chat(cluster.url("router-1"), 120)
+    print(expected_text[:70] + " ...")
+    check(completed and bool(expected_text), "the stream did not end properly")
+    print_heading("A deposit sent twice, taken once")
     show_deposit(cluster)
-    step("A rule change, in force at every router when the tool returns")
+    print_heading(
+        "A rule change, in force at every router when the tool returns"
+    )
     rules = cluster.folder / "rules2.txt"
-    rules.write_text(MORE_RULES)
-    tool(cluster, "diff", str(rules))
+    rules.write_text(EXTENDED_RULES)
+    run_tool(cluster, "diff", str(rules))
     started = time.monotonic()
-    tool(cluster, "apply", str(rules))
+    run_tool(cluster, "apply", str(rules))
     print(f"in force after {time.monotonic() - started:.2f} s")
-    step("A retired runner gets no new work")
-    show_drain(cluster)
-    step("A runner killed in mid-stream; the caller does not notice")
-    show_killed_runner(cluster, whole)
-    step("Status and counters")
-    tool(cluster, "status")
+    print_heading("A retired runner gets no new work")
+    show_retirement(cluster)
+    print_heading("A runner killed in mid-stream; the caller does not notice")
+    show_killed_runner(cluster, expected_text)
+    print_heading("Status and counters")
+    run_tool(cluster, "status")
     answer = httpx.get(
         f"{cluster.url('router-1')}/counters",
         headers={"authorization": f"Bearer {CREDENTIAL}"},
     )
     check(answer.status_code == 200, "the counters were not shown")
     print(json.dumps(answer.json(), indent=1))
-    step("Planned stop")
+    print_heading("Planned stop")
     codes = {
         name: cluster.stop(name) for name in ("desk-1", "router-1", "router-2")
     }
--- a/scripts/run_checks.py
+++ b/scripts/run_checks.py
@@ -9,7 +9,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 
-SIMPLE_CHECKS = (
+REQUIRED_CHECKS = (
     ("formatter", ["ruff", "format", "--check", "."]),
     ("linter", ["ruff", "check", "."]),
     ("core has no input or output", [sys.executable, "scripts/check_core.py"]),
@@ -20,14 +20,14 @@
 )
 
 
-def run_simple(name: str, command: list[str]) -> bool:
+def run_command(name: str, command: list[str]) -> bool:
     """Runs one command and prints its output if it fails."""
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
-    ok = done.returncode == 0
-    print(f"{'ok  ' if ok else 'FAIL'} {name}")
-    if not ok:
+    passed_check = done.returncode == 0
+    print(f"{'ok  ' if passed_check else 'FAIL'} {name}")
+    if not passed_check:
         print(done.stdout[-8000:], done.stderr[-8000:])
-    return ok
+    return passed_check
 
 
 def known_red_names() -> set[str]:
@@ -70,8 +70,8 @@
     except json.JSONDecodeError:
         print(done.stdout[-8000:], done.stderr[-8000:])
         return 0, 1, 0
-    red = known_red_names()
-    passed = failed = skipped = 0
+    known_red_scenarios = known_red_names()
+    passed = failed = known_red = 0
     for feature in features:
         for element in feature.get("elements", []):
             if element["type"] != "scenario":
@@ -80,27 +80,27 @@
             status = element.get("status")
             if status == "passed":
                 passed += 1
-            elif element["name"] in red:
-                skipped += 1
+            elif element["name"] in known_red_scenarios:
+                known_red += 1
                 print(f"KNOWN RED {name}")
             elif status != "skipped" or not arguments:
                 failed += 1
                 print(f"FAIL {name} ({status})")
                 print_errors(element)
-    if failed or (done.returncode != 0 and not (skipped or passed)):
+    if failed or (done.returncode != 0 and not (known_red or passed)):
         print(done.stdout[-12000:], done.stderr[-4000:])
         failed = max(failed, 1)
-    print(f"scenarios: {passed} passed, {failed} failed, {skipped} known red")
-    return passed, failed, skipped
+    print(f"scenarios: {passed} passed, {failed} failed, {known_red} known red")
+    return passed, failed, known_red
 
 
 def main() -> int:
     """Runs all checks; returns the exit code."""
-    checks = list(SIMPLE_CHECKS)
+    checks = list(REQUIRED_CHECKS)
     for name, script in OPTIONAL_CHECKS:
         if (ROOT / script).exists():
             checks.append((name, [sys.executable, script]))
-    results = [run_simple(name, command) for name, command in checks]
+    results = [run_command(name, command) for name, command in checks]
     passed, failed, _ = run_scenarios(sys.argv[1:])
     passed += results.count(True)
     failed += results.count(False)
--- a/standins/platform_runner.py
+++ b/standins/platform_runner.py
@@ -20,12 +20,12 @@
 from knapweedarch.http_messages import Answer, Request
 from knapweedarch.timers import Clock
 
-HEARTBEAT_S = 0.3
-LOAD_S = 0.3
-EVENT_S = 0.02
-SERVICE_WORK_S = 0.02
+HEARTBEAT_INTERVAL_S = 0.3
+LOAD_DURATION_S = 0.3
+EVENT_INTERVAL_S = 0.02
+SERVICE_DURATION_S = 0.02
 PROMPT_TOKENS_S = 100_000.0
-PREFIX = "X-Knapweedarch-"
+HEADER_PREFIX = "X-Knapweedarch-"
 JSON_TYPE = (b"content-type", b"application/json")
 
 
@@ -36,7 +36,7 @@
     request_id: str
     customer: str
     weights: int
-    read_tokens: int
+    computed_tokens: int
     done: bool = False
 
 
@@ -64,24 +64,24 @@
     zone: str
     service: str
     model: str = ""
-    controls: Callable[[], list[str]]
-    places: int = 4
+    control_addresses: Callable[[], list[str]]
+    concurrency: int = 4
     weights: int = 1
     port: int = 0
     runs: list[Run] = attrs.field(factory=list)
     leaving: bool = False
-    left: anyio.Event = attrs.field(factory=anyio.Event)
-    orders: int = 0
+    leave_confirmed: anyio.Event = attrs.field(factory=anyio.Event)
+    order_count: int = 0
     _loading: bool = False
     _born: int = attrs.field(factory=lambda: int(time.time() * 1000))
     _heartbeats: int = 0
-    _parts: dict[tuple[str, str], int] = attrs.field(factory=dict)
+    _cached_parts: dict[tuple[str, str], int] = attrs.field(factory=dict)
     _events: list[list] = attrs.field(factory=list)
     _changed: anyio.Event = attrs.field(factory=anyio.Event)
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
         """Serves until cancelled."""
-        self._batch = anyio.CapacityLimiter(self.places)
+        self._limiter = anyio.CapacityLimiter(self.concurrency)
         server = InboundServer(self._handle, Clock())
         async with (
             anyio.create_task_group() as group,
@@ -92,7 +92,7 @@
             task_status.started()
             while True:
                 await self.send_heartbeat()
-                await anyio.sleep(HEARTBEAT_S)
+                await anyio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def send_heartbeat(self) -> None:
         """Tells its state to the first control address that confirms it."""
@@ -102,7 +102,7 @@
             "address": f"{self.host}:{self.port}",
             "zone": self.zone,
             "version": "v1",
-            "concurrency": self.places,
+            "concurrency": self.concurrency,
             "state": "draining" if self.leaving else "ready",
             "coldLeftMs": 0,
             "born": self._born,
@@ -110,15 +110,15 @@
         }
         if self.model:
             body["models"] = self._models()
-        controls = self.controls()
-        random.shuffle(controls)
-        for address in controls:
+        control_addresses = self.control_addresses()
+        random.shuffle(control_addresses)
+        for address in control_addresses:
             url = f"http://{address}/api/instances/{self.id}"
             with contextlib.suppress(httpx.HTTPError):
                 answer = await self._client.put(url, json=body)
                 if answer.status_code == 200:
                     if self.leaving:
-                        self.left.set()
+                        self.leave_confirmed.set()
                     return
 
     def _models(self) -> list[dict]:
@@ -132,7 +132,7 @@
             case b"POST", "/api/order":
                 await responder.send(self._order(json.loads(req.body)))
             case b"GET", "/api/kv-events":
-                await responder.send(await self._tell_events(req))
+                await responder.send(await self._get_events(req))
             case _:
                 await self._serve(req, responder)
 
@@ -141,29 +141,32 @@
             "stage": "unified",
             "models": self._models(),
             "busy": self._loading,
-            "callSeq": self.orders,
-            "queued": self._batch.statistics().tasks_waiting,
-            "running": self._batch.borrowed_tokens,
+            "callSeq": self.order_count,
+            "queued": self._limiter.statistics().tasks_waiting,
+            "running": self._limiter.borrowed_tokens,
         }
 
     def _order(self, order: dict) -> Answer:
-        if self._loading or order.get("expect", self.orders) != self.orders:
+        if (
+            self._loading
+            or order.get("expect", self.order_count) != self.order_count
+        ):
             return Answer(status=409)
         if order["version"] <= self.weights:
             return Answer(status=200)
-        self.orders += 1
+        self.order_count += 1
         self._loading = True
         self._group.start_soon(self._load, order["version"])
         return Answer(status=202)
 
     async def _load(self, version: int) -> None:
-        await anyio.sleep(LOAD_S)
-        for salt, part in list(self._parts):
-            self._note("-", salt, part)
+        await anyio.sleep(LOAD_DURATION_S)
+        for salt, part in list(self._cached_parts):
+            self._record_change("-", salt, part)
         self.weights, self._loading = version, False
         await self.send_heartbeat()
 
-    async def _tell_events(self, req: Request) -> Answer:
+    async def _get_events(self, req: Request) -> Answer:
         since = int(req.query.partition("=")[2] or 0)
         wait_s = int(_header(req, "Wait-Ms", "0")) / 1000
         with anyio.move_on_after(wait_s):
@@ -178,76 +181,83 @@
             }
         )
 
-    def _note(self, sign: str, salt: str, part: str, tokens: int = 0) -> None:
+    def _record_change(
+        self, sign: str, salt: str, part: str, tokens: int = 0
+    ) -> None:
         if sign == "+":
-            self._parts[salt, part] = tokens
+            self._cached_parts[salt, part] = tokens
         else:
-            del self._parts[salt, part]
+            del self._cached_parts[salt, part]
         number = len(self._events) + 1
         self._events.append([number, sign, salt, part, tokens, self.model])
         self._changed.set()
         self._changed = anyio.Event()
 
     async def _serve(self, req: Request, responder: Responder) -> None:
-        request_id = _header(req, PREFIX + "Request-Id")
-        if _header(req, PREFIX + "Expect-Instance", self.id) != self.id:
-            served_by = (f"{PREFIX}Served-By".encode(), self.id.encode())
+        request_id = _header(req, HEADER_PREFIX + "Request-Id")
+        if _header(req, HEADER_PREFIX + "Expect-Instance", self.id) != self.id:
+            served_by = (f"{HEADER_PREFIX}Served-By".encode(), self.id.encode())
             await responder.send(Answer(status=421, headers=(served_by,)))
             return
-        wanted = _header(req, PREFIX + "Expect-Version", str(self.weights))
+        wanted = _header(
+            req, HEADER_PREFIX + "Expect-Version", str(self.weights)
+        )
         if self.model and int(wanted) != self.weights:
             await responder.send(Answer(status=421))
             return
         if self._loading:
-            not_run = (f"{PREFIX}Not-Executed".encode(), b"1")
+            not_run = (f"{HEADER_PREFIX}Not-Executed".encode(), b"1")
             await responder.send(Answer(status=503, headers=(not_run,)))
             return
-        async with self._batch:
+        async with self._limiter:
             await self._work(req, request_id, responder)
 
     async def _work(
         self, req: Request, request_id: str, responder: Responder
     ) -> None:
         run = Run(
-            *(request_id, _header(req, PREFIX + "Tenant"), self.weights),
-            read_tokens=self._read_prompt(req),
+            *(request_id, _header(req, HEADER_PREFIX + "Tenant"), self.weights),
+            computed_tokens=self._compute_prompt(req),
         )
         self.runs.append(run)
         headers = (
-            (f"{PREFIX}Request-Id".encode(), request_id.encode()),
-            (f"{PREFIX}Response-Stamp".encode(), f"s-{request_id}".encode()),
+            (f"{HEADER_PREFIX}Request-Id".encode(), request_id.encode()),
+            (
+                f"{HEADER_PREFIX}Response-Stamp".encode(),
+                f"s-{request_id}".encode(),
+            ),
         )
         if not self.model:
-            await anyio.sleep(SERVICE_WORK_S)
+            await anyio.sleep(SERVICE_DURATION_S)
             body = json.dumps({"request": request_id}).encode()
             await responder.send(Answer(status=200, headers=headers, body=body))
         else:
-            await anyio.sleep(run.read_tokens / PROMPT_TOKENS_S)
+            await anyio.sleep(run.computed_tokens / PROMPT_TOKENS_S)
             await self._stream(req, headers, responder)
         run.done = True
 
-    def _read_prompt(self, req: Request) -> int:
+    def _compute_prompt(self, req: Request) -> int:
         """Notes the parts of a prompt; returns the tokens that it reads."""
-        salt, read, cached = _header(req, PREFIX + "Cache-Salt"), 0, True
-        for entry in _header(req, PREFIX + "Prefix-Hash").split(","):
+        salt, read, cached = _header(req, HEADER_PREFIX + "Cache-Salt"), 0, True
+        for entry in _header(req, HEADER_PREFIX + "Prefix-Hash").split(","):
             part, _, tokens = entry.partition(":")
             if not tokens:
                 continue
-            cached = cached and (salt, part) in self._parts
+            cached = cached and (salt, part) in self._cached_parts
             if not cached:
                 read += int(tokens)
-                self._note("+", salt, part, int(tokens))
+                self._record_change("+", salt, part, int(tokens))
         return read
 
     async def _stream(
         self, req: Request, headers, responder: Responder
     ) -> None:
-        counts = _header(req, PREFIX + "Token-Count", "0,0").split(",")
+        counts = _header(req, HEADER_PREFIX + "Token-Count", "0,0").split(",")
         first = int(_header(req, "Last-Event-Id", "0"))
         kind = (b"content-type", b"text/event-stream")
         await responder.start(200, (*headers, kind))
         for number in range(first + 1, int(counts[1]) + 1):
-            await anyio.sleep(EVENT_S)
+            await anyio.sleep(EVENT_INTERVAL_S)
             event = f"id: {number}\ndata: token {number}\n\n"
             await responder.write(event.encode())
         await responder.end()
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -31,9 +31,9 @@
 KEY = "key-of-huts"
 MODEL = "guide"
 ZONES = ("dinsho", "sanetti", "rira")
-START_S = 20.0
-POLL_S = 0.02
-LIMIT_MS = 6000
+START_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.02
+REQUEST_TIMEOUT_MS = 6000
 
 SERVICES = [
     {
@@ -59,7 +59,7 @@
         "host": HOST,
         "pathPrefix": f"/{name}/",
         "routeType": kind,
-        "timeoutMs": LIMIT_MS,
+        "timeoutMs": REQUEST_TIMEOUT_MS,
         "goalMs": 600,
         "priority": 0,
         "service": service,
@@ -115,12 +115,15 @@
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="knapweedarch-"))
         second, third = random.SystemRandom().sample(range(2, 250), 2)
         self._network = f"127.{second}.{third}"
-        self._link, self._control, self._front, self._ready = _free_ports(
-            f"{self._network}.1", 4
-        )
+        (
+            self._link_port,
+            self._control_port,
+            self._proxy_port,
+            self._ready_port,
+        ) = _free_ports(f"{self._network}.1", 4)
         self.processes: dict[str, Process] = {}
         self.runners: list[PlatformRunner] = []
-        self.client = httpx.AsyncClient(timeout=LIMIT_MS / 1000)
+        self.client = httpx.AsyncClient(timeout=REQUEST_TIMEOUT_MS / 1000)
         self._requests = 0
 
     def _add_process(self, role: str, number: int) -> Process:
@@ -130,7 +133,7 @@
         self.processes[name] = process
         return process
 
-    def add(self, members: int, proxies: int) -> None:
+    def start_processes(self, members: int, proxies: int) -> None:
         """Starts members and proxies for the first time."""
         for number in range(1, members + 1):
             self._add_process("member", number)
@@ -141,7 +144,7 @@
             self.start(process.name)
 
     def _write_settings(self, process: Process, bootstrap: bool) -> None:
-        seeds = [f"{self._network}.{i}:{self._control}" for i in (1, 2, 3)]
+        seeds = [f"{self._network}.{i}:{self._control_port}" for i in (1, 2, 3)]
         data = self.folder / f"data-{process.name}"
         data.mkdir(exist_ok=True)
         zone = ZONES[int(process.name.split("-")[1]) % len(ZONES)]
@@ -150,10 +153,10 @@
             "bindIp": process.host,
             "zone": zone,
             **{f"zones.{name}": "highlands" for name in ZONES},
-            "endpoints.front": f"{process.host}:{self._front}",
-            "endpoints.ready": f"{process.host}:{self._ready}",
-            "endpoints.control": f"{process.host}:{self._control}",
-            "portRange": f"{self._link},{self._link}",
+            "endpoints.front": f"{process.host}:{self._proxy_port}",
+            "endpoints.ready": f"{process.host}:{self._ready_port}",
+            "endpoints.control": f"{process.host}:{self._control_port}",
+            "portRange": f"{self._link_port},{self._link_port}",
             "seedNodes": ",".join(seeds),
             "bootstrap": str(bootstrap).lower(),
             "dataDir": str(data),
@@ -211,17 +214,17 @@
                 process.popen.wait()
         shutil.rmtree(self.folder)
 
-    def controls(self) -> list[str]:
+    def control_addresses(self) -> list[str]:
         """Control addresses of the members."""
         return [
-            f"{p.host}:{self._control}"
+            f"{p.host}:{self._control_port}"
             for p in self.processes.values()
             if p.role == "member"
         ]
 
-    def front(self, name: str) -> str:
+    def proxy_url(self, name: str) -> str:
         """Base URL at which a proxy takes callers."""
-        return f"http://{self.processes[name].host}:{self._front}"
+        return f"http://{self.processes[name].host}:{self._proxy_port}"
 
     async def add_runner(self, service: str, model: str = "") -> None:
         """Starts a runner; it announces itself."""
@@ -232,16 +235,16 @@
             zone=ZONES[number % len(ZONES)],
             service=service,
             model=model,
-            controls=self.controls,
+            control_addresses=self.control_addresses,
         )
         self.runners.append(runner)
         await self._group.start(runner.run)
 
-    async def order(self, method: str, path: str, document=None) -> int:
+    async def call_control(self, method: str, path: str, document=None) -> int:
         """Makes an operator's call at any member until one answers it."""
-        until = time.monotonic() + START_S
+        until = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until:
-            address = random.choice(self.controls())
+            address = random.choice(self.control_addresses())
             with contextlib.suppress(httpx.HTTPError):
                 answer = await self.client.request(
                     method, f"http://{address}{path}", json=document
@@ -249,29 +252,31 @@
                 if answer.status_code < 500:
                     self.answer = answer
                     return answer.status_code
-            await anyio.sleep(POLL_S)
+            await anyio.sleep(POLL_INTERVAL_S)
         raise TimeoutError(f"no member answered {method} {path}")
 
     async def is_ready(self, name: str) -> bool:
         """Tells whether a proxy says that it is ready."""
-        url = f"http://{self.processes[name].host}:{self._ready}/api/ready"
+        url = f"http://{self.processes[name].host}:{self._ready_port}/api/ready"
         try:
             return (await self.client.get(url)).status_code == 200
         except httpx.HTTPError:
             return False
 
-    async def wait(self, probe: Callable, limit_s: float = START_S) -> float:
+    async def wait(
+        self, probe: Callable, limit_s: float = START_TIMEOUT_S
+    ) -> float:
         """Waits until `await probe()` is true; returns how long it took.
 
         Raises:
             TimeoutError: It was not within the limit.
         """
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         while not await probe():
-            if time.monotonic() - began_at > limit_s:
+            if time.monotonic() - started_at > limit_s:
                 raise TimeoutError(f"not within {limit_s} s")
-            await anyio.sleep(POLL_S)
-        return time.monotonic() - began_at
+            await anyio.sleep(POLL_INTERVAL_S)
+        return time.monotonic() - started_at
 
     async def wait_ready(self) -> None:
         """Waits until every proxy is ready."""
@@ -279,7 +284,7 @@
             if process.role == "proxy":
                 await self.wait(lambda name=name: self.is_ready(name))
 
-    async def ask(
+    async def send_request(
         self, proxy: str, path: str, tokens: int = 0
     ) -> httpx.Response:
         """Sends a caller's request; returns the whole answer."""
@@ -288,7 +293,7 @@
             "Host": HOST,
             "Authorization": f"Token {KEY}",
             "X-Knapweedarch-Request-Id": f"request-{self._requests}",
-            "X-Knapweedarch-Deadline-Ms": str(LIMIT_MS),
+            "X-Knapweedarch-Deadline-Ms": str(REQUEST_TIMEOUT_MS),
         }
         if tokens:
             parts = f"a1:2000,b{self._requests % 3}:3000,c{self._requests}:90"
@@ -296,7 +301,7 @@
             headers["X-Knapweedarch-Token-Count"] = f"5090,{tokens}"
             headers["X-Knapweedarch-Prefix-Hash"] = parts
         return await self.client.post(
-            self.front(proxy) + path, headers=headers, content=b"{}"
+            self.proxy_url(proxy) + path, headers=headers, content=b"{}"
         )
 
 
@@ -318,11 +323,11 @@
         async with anyio.create_task_group() as group:
             site = PlatformSite(group)
             try:
-                site.add(members, proxies)
+                site.start_processes(members, proxies)
                 for _ in range(runners):
                     await site.add_runner("guide-models", MODEL)
                 await site.add_runner("desk")
-                await site.order("PUT", "/api/config", configuration(1))
+                await site.call_control("PUT", "/api/config", configuration(1))
                 await site.wait_ready()
                 yield site
             finally:
