--- a/features/command_line.feature
+++ b/features/command_line.feature
@@ -1,6 +1,6 @@
 Feature: Command-line tool
 
-  The members are replaced by a control state in memory.
+  A fake control client with an in-memory state replaces the members.
 
   Background:
     Given members with the rules "model guide  # asked by T" in version 1
@@ -19,7 +19,7 @@
     And the members hold version 1
 
   Scenario: An empty rule file is not sent
-    # A file cut off by a full disk would lock out every customer.
+    # In force, a file truncated by a full disk would lock out every customer.
     Given a rule file with "# nothing left"
     When the tool runs "apply FILE --base 1"
     Then it exits with 2 and warns "the file holds no rule"
@@ -42,7 +42,7 @@
 
   Scenario: Settings are checked
     When the tool runs "check-settings SETTINGS"
-    Then it exits with 0 and prints "correct settings of a tool"
+    Then it exits with 0 and prints "valid settings of a tool"
 
   Scenario: The differences are shown and their version is the base to apply
     When the tool runs "diff FILE"
@@ -80,7 +80,7 @@
     And the members hold version 2
 
   Scenario: A request id of another order is refused before it is sent
-    # The members would answer it with the result of the other order.
+    # The members would return the result of the other order.
     When the tool runs "apply FILE --base 1"
     And the rule file is replaced by "model third  # asked by S"
     And the tool runs "apply FILE --base 1 --request-id LAST"
@@ -112,7 +112,7 @@
       | announce runner-1 |
 
   Scenario: A command that breaks off does not claim that nothing was done
-    # Python ends with code 1 on an error that nobody handles.
+    # An unhandled exception would exit with code 1: nothing was done.
     Given the next answer is lost by a fault in the tool
     When the tool runs "apply FILE --base 1"
     Then it exits with 4 and warns "resend with the same request id"
--- a/features/steps/command_line_steps.py
+++ b/features/steps/command_line_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the command-line tool, with members in memory."""
+"""Steps for the command-line tool with an in-memory control state."""
 
 import contextlib
 import io
@@ -24,7 +24,7 @@
 
 
 class FakeControlClient:
-    """Stands for the client to the members; may lose answers."""
+    """Replaces the control client; can lose responses."""
 
     def __init__(self):
         self.state = ControlState()
@@ -41,14 +41,14 @@
         return None
 
     async def submit(self, command, timeout_s):
-        """Applies a command at once."""
+        """Applies a command to the in-memory state."""
         self.raise_if_unreachable()
         result = RESULTS.decode(self.state.apply(COMMANDS.encode(command)))
         self.raise_if_answer_lost()
         return result
 
     async def status(self, timeout_s):
-        """Answers from the state."""
+        """Returns the status of the in-memory state."""
         self.raise_if_unreachable()
         self.raise_if_answer_lost()
         state = self.state
@@ -62,12 +62,12 @@
         self.raise_if_unreachable()
 
     def raise_if_unreachable(self):
-        """Fails as the client does without members."""
+        """Raises the error of an unreachable control group."""
         if not self.reachable:
             raise ControlError("unreachable", "no control member answered")
 
     def raise_if_answer_lost(self):
-        """Fails as the client does after a lost answer."""
+        """Raises the error of a lost response, once."""
         if self.lose_next_answer:
             self.lose_next_answer = False
             raise self.lost_answer_error
--- a/features/steps/observability_steps.py
+++ b/features/steps/observability_steps.py
@@ -62,21 +62,21 @@
     )
 
 
-@then("{count:d} lines of the first are told as left out")
+@then("{count:d} lines of the first are reported as dropped")
 def check_dropped_lines(context, count):
     lines = map(json.loads, context.log_stream.getvalue().splitlines())
     (summary,) = [x for x in lines if x["event_name"] == "lines_left_out"]
     assert summary["fields"] == {"lines": {FIRST_EVENT: count}}, summary
 
 
-@given("logs that go to a pipe that nobody reads")
+@given("logs that go to a pipe without a reader")
 def log_to_unread_pipe(context):
     reader, writer = os.pipe()
     context.pipe = reader
     stream = os.fdopen(writer, "w")
     context.add_cleanup(stream.close)
     context.add_cleanup(os.close, reader)
-    # The bound per second is another scenario's; this one fills the pipe.
+    # This scenario fills the pipe; another one tests the limit per second.
     logs.setup_logging("info", stream)
     get_handler()._rate_limiter.max_lines = 1_000_000
     context.add_cleanup(logs.setup_logging, "info", io.StringIO())
@@ -121,13 +121,13 @@
         context.piped += os.read(context.pipe, 65_536)
 
 
-@then("the pipe held whole lines only")
+@then("the pipe contained only complete lines")
 def check_complete_lines(context):
     assert context.piped.endswith(b"\n")
     assert len(parse_event_names(context.piped.decode())) > 100
 
 
-@then("lines are told as left out")
+@then("lines are reported as dropped")
 def check_pipe_dropped_lines(context):
     assert "lines_left_out" in parse_event_names(context.piped.decode())
 
@@ -154,7 +154,7 @@
 
 
 def fetch(context, path: str) -> str:
-    """Fetches a path of the metrics server; returns head and body."""
+    """Fetches a path of the metrics server; returns headers and body."""
 
     async def run():
         with anyio.fail_after(5.0):
@@ -179,7 +179,7 @@
     return anyio.run(run)
 
 
-@then('the page at "{path}" holds')
+@then('the page at "{path}" contains')
 def check_page(context, path):
     lines = fetch(context, path).splitlines()
     assert lines[0].startswith("HTTP/1.1 200"), lines[0]
@@ -187,12 +187,12 @@
     assert not missing, missing
 
 
-@then('the page at "{path}" is missing')
+@then('the page at "{path}" is not found')
 def check_page_missing(context, path):
     assert fetch(context, path).startswith("HTTP/1.1 404")
 
 
-@then('the histogram "{name}" holds 1 request')
+@then('only the histogram "{name}" has 1 request')
 def check_histogram(context, name):
     histograms = context.site_metrics.histograms
     held = {k: h.buckets()[-1][1] for k, h in histograms.items()}
@@ -200,13 +200,13 @@
     assert ends == {name: 1}, ends
 
 
-@then('the log tells "{name}"')
+@then('the log contains "{name}"')
 def check_event_logged(context, name):
     assert name in parse_event_names(context.log_stream.getvalue())
 
 
 def format_line(second: float, source: str, event: str, **fields) -> str:
-    """A line as a collector writes it, with its process before it."""
+    """Formats a log line with the prefix that a log collector adds."""
     document = {
         "event_name": event,
         "time": f"2026-12-04T10:00:{second:06.3f}+00:00",
@@ -307,7 +307,7 @@
 def write_log_files(context, end):
     lines = [*OTHER_LINES, *REQUEST_LINES[end]]
     context.log_paths = []
-    # Each process has its own file, and files come in any order.
+    # Each process has its own file; the files are given out of order.
     for number in (1, 0):
         with tempfile.NamedTemporaryFile("w", delete=False) as file:
             file.write("\n".join(lines[number::2]) + "\n")
--- a/features/steps/platform_site_steps.py
+++ b/features/steps/platform_site_steps.py
@@ -296,6 +296,6 @@
             code = cli.run(["explain", f"request-{number}", *logs])
         last = out.getvalue().splitlines()[-1]
         assert code == 0, out.getvalue()
-        assert last.startswith("a whole stream of 3 events at proxy-"), last
+        assert last.startswith("complete stream of 3 events at proxy-"), last
 
     context.plan.run(check)
--- a/knapweedarch/api.py
+++ b/knapweedarch/api.py
@@ -1,8 +1,8 @@
-"""The few verbs of the package, for programs and for the command line.
+"""Public functions of the package, for programs and for the command line.
 
-The verbs that give orders block until the order is in force everywhere. Each
-order has a request id: a resend under the same id has the effect of one order,
-so an order whose answer was lost is resent and not given again.
+Functions that submit an order block until it is in force everywhere. Each
+order has a request id and is idempotent under it: an order whose response was
+lost is resent under the same id and takes effect once.
 """
 
 import hashlib
@@ -32,7 +32,7 @@
 from knapweedarch.timers import Clock
 
 # A change waits for leases of up to 2.1 s after an election of up to 1.8 s;
-# the rest covers a second election in the meantime.
+# the remaining time allows for a second election.
 ORDER_TIMEOUT_S = 15.0
 STATUS_TIMEOUT_S = 5.0
 _DIGEST_CHARACTERS = 16
@@ -40,11 +40,11 @@
 
 @attrs.frozen
 class Order:
-    """An order as an operator gives it.
+    """An order of an operator.
 
     Attributes:
         verb: `apply`, `announce` or `retire`.
-        subject: What the order says, so that an id fits only this order.
+        subject: Arguments of the order, which its request id depends on.
     """
 
     verb: str
@@ -52,15 +52,15 @@
 
 
 def create_request_id(order: Order) -> str:
-    """Creates an id that fits only this order."""
+    """Creates a random id that contains a digest of the order."""
     return f"{secrets.token_hex(8)}-{_digest(order)}"
 
 
 def check_request_id(request_id: str, order: Order) -> None:
-    """Refuses an id that was created for another order.
+    """Checks that an id was created for this order.
 
-    The members refuse a known id with another order, but forget ids after 1,000
-    newer orders; a mistake is better found before anything is sent.
+    The members reject a known id with another order, but forget an id after
+    1,000 newer orders. Checking here finds a mistake before anything is sent.
 
     Raises:
         RequestIdError: The id belongs to another order.
@@ -80,17 +80,17 @@
 
 
 def apply_order(text: str, base_version: int) -> Order:
-    """Describes the order to put a rule file."""
+    """Returns the order that applies a rule file."""
     return Order("apply", (str(base_version), text))
 
 
 def retire_order(endpoint_id: str) -> Order:
-    """Describes the order to retire an endpoint."""
+    """Returns the order that retires an endpoint."""
     return Order("retire", (endpoint_id,))
 
 
 def announce_order(endpoint_id: str, *given: str) -> Order:
-    """Describes the order to announce an endpoint."""
+    """Returns the order that announces an endpoint."""
     return Order("announce", (endpoint_id, *given))
 
 
@@ -98,20 +98,20 @@
     """Loads a settings file.
 
     Raises:
-        SettingsError: With every fault of the file.
+        SettingsError: The file is invalid; lists all its faults.
     """
     return settings_files.load_settings(path)
 
 
 def serve(settings: Settings) -> None:
-    """Runs a member or a router until it is told to stop.
+    """Runs a member or a router until it receives a stop signal.
 
     Raises:
         SettingsError: The settings are those of the command-line tool.
     """
     if isinstance(settings, ToolSettings):
         raise SettingsError(["role: 'tool'; allowed: member, router"])
-    # The daemon imports the HTTP server, which orders do not need.
+    # Imported here because it loads the HTTP server, which orders do not need.
     from knapweedarch import daemon
 
     anyio.run(daemon.run, settings)
@@ -123,17 +123,17 @@
     base_version: int | None = None,
     request_id: str = "",
 ) -> RulesAccepted | RulesConflict:
-    """Puts a rule file in force, and notes the version it was given.
+    """Applies a rule file and records its new version.
 
     Args:
         settings: Settings with members and credential.
         path: The rule file.
         base_version: Version that the file is based on; None for the version
-            noted by the last `diff` or `apply` of this file.
+            recorded by the last `diff` or `apply` of this file.
         request_id: Id of an earlier order to resend; empty for a new one.
 
     Raises:
-        RuleError: The file is refused; nothing was sent.
+        RuleError: The file is invalid; nothing was sent.
         RequestIdError: The id belongs to another order; nothing was sent.
         ControlError: `unreachable`, `unknown_outcome` or `refused`.
     """
@@ -186,7 +186,7 @@
     except ControlError as exc:
         if exc.reason != "unknown_outcome":
             raise
-        # A question that got no answer has changed nothing.
+        # A status query changes nothing, so its outcome cannot be unknown.
         raise ControlError("unreachable", str(exc)) from exc
 
 
@@ -194,7 +194,7 @@
     """Forms the first group from the members of the settings, once.
 
     Raises:
-        ControlError: A member is not blank or does not answer.
+        ControlError: A member is not blank or does not respond.
     """
     _run_client_action(settings, lambda client: client.form(settings.members))
 
@@ -211,7 +211,7 @@
         settings, lambda client: client.submit(command, ORDER_TIMEOUT_S)
     )
     if isinstance(result, RequestIdReused):
-        raise ControlError("refused", "the request id is of another order")
+        raise ControlError("refused", "the request id belongs to another order")
     return result
 
 
@@ -228,7 +228,8 @@
     )
     failure = None
     async with client:
-        # Raised below, since the client's task group would wrap it.
+        # Raised outside the block, since the client's task group would wrap
+        # it in an exception group.
         try:
             return await action(client)
         except ControlError as exc:
--- a/knapweedarch/cli.py
+++ b/knapweedarch/cli.py
@@ -1,7 +1,7 @@
-"""Command-line tool of the operators.
+"""Command-line tool for operators.
 
-Exit codes: 0 done; 1 refused or in conflict; 2 wrong usage or a faulty file;
-3 the members cannot be reached and nothing was changed; 4 the outcome is
+Exit codes: 0 done; 1 refused or in conflict; 2 invalid usage or an invalid
+file; 3 the members are unreachable and nothing was changed; 4 the outcome is
 unknown, and the order must be resent under the same request id.
 """
 
@@ -46,13 +46,13 @@
 MAX_VERSION = 2**63 - 1
 MAX_ID_CHARACTERS = 128
 INTERRUPTED_TEXT = (
-    "the command broke off; if it gave an order, the outcome is unknown: "
+    "the command was interrupted; if it sent an order, the outcome is unknown: "
     "resend with the same request id"
 )
 
 
 class UsageError(KnapweedarchError):
-    """An argument is out of range.
+    """An argument is invalid.
 
     Attributes:
         faults: One text per fault.
@@ -73,7 +73,7 @@
 
     Args:
         file: Rule file.
-        settings: Not used; accepted so that all commands take one option.
+        settings: Ignored; accepted so that all commands share the option.
         json: Print one JSON document.
     """
     text = rule_files.read_rules_text(file)
@@ -98,7 +98,7 @@
     settings: pathlib.Path = DEFAULT_SETTINGS,
     json: bool = False,
 ) -> int:
-    """Compare a rule file with the rules in force, and note their version.
+    """Compare a rule file with the rules in force and record their version.
 
     Args:
         file: Rule file.
@@ -128,8 +128,8 @@
 
     Args:
         file: Rule file.
-        base: Version that the file is based on; by default the version noted
-            by the last diff or apply of this file, or 0 if there is none.
+        base: Version that the file is based on; by default the version
+            recorded by the last diff or apply of this file, or 0.
         request_id: Id of an earlier order, to resend it.
         settings: Settings file with members and credential.
         json: Print one JSON document.
@@ -154,7 +154,7 @@
                 request_id,
                 version=version,
             )
-    raise AssertionError("no such result")
+    raise AssertionError("unexpected result")
 
 
 def list_all(
@@ -193,16 +193,16 @@
 ) -> int:
     """Announce an endpoint, ending its retirement.
 
-    The options are needed only for an endpoint that is not known yet.
+    The options are required only for an unknown endpoint.
 
     Args:
         endpoint_id: Name of the endpoint.
-        url: Base URL with an IP number.
+        url: Base URL with an IP address.
         kind: Runner or service.
         serves: Models of a runner, separated by commas, or the service.
         weights_version: Version of the weights that a runner has loaded.
         data_centre: Data centre of the endpoint.
-        incarnation: Incarnation that the endpoint names in its answers.
+        incarnation: Incarnation that the endpoint sends in its responses.
         request_id: Id of an earlier order, to resend it.
         settings: Settings file with members and credential.
         json: Print one JSON document.
@@ -219,7 +219,7 @@
     _check_texts(endpoint_id, *map(str, given.values()))
     if url and not _is_url(url):
         raise UsageError(
-            f"--url: {url!r}; allowed: http://, an IP number and a port"
+            f"--url: {url!r}; allowed: http://, an IP address and a port"
         )
     loaded = api.load(settings)
     order = api.announce_order(endpoint_id, repr(sorted(given.items())))
@@ -241,7 +241,7 @@
 
 
 def _check_texts(*texts: str) -> None:
-    """Refuses texts that no endpoint can have, such as malformed UTF-8."""
+    """Rejects texts that no endpoint can have, such as malformed UTF-8."""
     for text in texts:
         if not text.isprintable() or len(text) > MAX_ID_CHARACTERS:
             raise UsageError(
@@ -251,7 +251,7 @@
 
 
 def _is_url(text: str) -> bool:
-    """Tells whether a text is http, an IP number and a port."""
+    """Returns whether a text is an http URL with an IP address and a port."""
     try:
         parts = urllib.parse.urlsplit(text)
         ipaddress.ip_address(parts.hostname or "")
@@ -267,7 +267,7 @@
 def _build_endpoint(
     reply: StatusReply, endpoint_id: str, given: dict
 ) -> Endpoint | None:
-    """Returns the endpoint to announce, or None if too little is known."""
+    """Returns the endpoint to announce, or None if options are missing."""
     for entry in reply.endpoints:
         if entry.endpoint.id == endpoint_id:
             return attrs.evolve(
@@ -317,14 +317,14 @@
         case TableFull():
             text = "the table of endpoints is full"
         case _:
-            raise AssertionError(f"no such result: {result}")
+            raise AssertionError(f"unexpected result: {result}")
     return reports.print_refused(json, text, request_id)
 
 
 def status(
     *, settings: pathlib.Path = DEFAULT_SETTINGS, json: bool = False
 ) -> int:
-    """Print leader, members, routers and sizes.
+    """Print the leader, members, routers and table sizes.
 
     Args:
         settings: Settings file with members and credential.
@@ -350,11 +350,11 @@
 
 
 def explain(request_id: str, *files: pathlib.Path, json: bool = False) -> int:
-    """Find a request in the logs of all processes and tell how it ended.
+    """Find a request in the logs of all processes and explain how it ended.
 
     Args:
         request_id: Id that the caller gave the request.
-        files: Logs; a name before the JSON text of a line is kept.
+        files: Log files; a prefix before the JSON document of a line is kept.
         json: Print one JSON document.
     """
     if not files:
@@ -384,7 +384,7 @@
 
 
 def _print_request_id(request_id: str, order: api.Order) -> str:
-    """Prints the request id before the order is sent, for a resend."""
+    """Prints the request id before the order is sent; allows a resend."""
     if request_id:
         api.check_request_id(request_id, order)
     else:
@@ -409,7 +409,8 @@
     except KeyboardInterrupt:
         return reports.print_faults(json, [INTERRUPTED_TEXT], EXIT_UNKNOWN)
     except Exception:
-        # Python would end with code 1, which promises that nothing was done.
+        # An unhandled exception would exit with code 1, which means that
+        # nothing was done.
         traceback.print_exc()
         return reports.print_faults(json, [INTERRUPTED_TEXT], EXIT_UNKNOWN)
 
@@ -424,7 +425,7 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Runs the command of `sys.argv` and exits with its code."""
     sys.exit(run(sys.argv[1:]))
 
 
--- a/knapweedarch/explain.py
+++ b/knapweedarch/explain.py
@@ -1,4 +1,4 @@
-"""Finds one request in the logs of many processes and tells how it ended."""
+"""Finds one request in the logs of many processes and explains its end."""
 
 import datetime
 import json
@@ -6,9 +6,9 @@
 
 import attrs
 
-# Changes of an endpoint up to this long before the request may explain it.
+# Events of an endpoint up to this long before the request are shown with it.
 CONTEXT_S = 10.0
-# Lines by which a process tells what it believes of itself.
+# Events about the state of the process that logs them.
 PROCESS_EVENTS = frozenset(
     (
         *("started", "stopped", "drain_started", "process_was_stopped"),
@@ -18,27 +18,27 @@
 )
 
 _REFUSAL_TEXTS = {
-    "deadline": "its time was over before an endpoint answered",
-    "no_capacity": "no endpoint of its service was in use",
+    "deadline": "its deadline passed before an endpoint answered",
+    "no_capacity": "no endpoint of its service was available",
     "retries_exhausted": (
-        "every endpoint it was sent to refused it or took no connection"
+        "every endpoint it was sent to refused the request or the connection"
     ),
     "lease_expired": "the router held no lease",
-    "control_unavailable": "the router knew no configuration yet",
+    "control_unavailable": "the router had no configuration yet",
     "outcome_unknown": (
         "it may have run at an endpoint that did not answer, so it was not "
-        "sent again"
+        "retried"
     ),
     "unknown_path": "no route of the configuration matches it",
-    "unknown_key": "no customer of the configuration holds its key",
+    "unknown_key": "no customer of the configuration has its key",
 }
 _FAILURE_TEXTS = {
-    "connect_refused": "took no connection",
+    "connect_refused": "refused the connection",
     "connection_closed": "closed the connection",
     "answer_timeout": "did not answer in time",
-    "first_token_timeout": "sent no first event in time",
-    "stream_silent": "fell silent within the stream",
-    "endpoint_refused": "refused it as not run",
+    "first_token_timeout": "did not send the first event in time",
+    "stream_silent": "stopped sending during the stream",
+    "endpoint_refused": "refused the request without running it",
     "wrong_incarnation": "had been replaced by another instance",
     "endpoint_error": "failed",
 }
@@ -46,13 +46,13 @@
 
 @attrs.frozen
 class LogLine:
-    """A line of a log.
+    """A log line.
 
     Attributes:
-        at: When it was written, in seconds since 1970 on its process's clock.
-        source: Process or file that it is from.
+        at: Unix time in seconds, by the clock of the process that wrote it.
+        source: Process or file that the line comes from.
         event: Name of the event.
-        fields: What was known of the case.
+        fields: Fields of the event.
     """
 
     at: float
@@ -68,12 +68,12 @@
 
 @attrs.frozen
 class Explanation:
-    """What the logs tell of a request.
+    """The logged history of a request.
 
     Attributes:
-        lines: Lines of the request, in order.
-        context: Lines of what its process and its endpoints were like.
-        conclusion: Where it ended and why, in one sentence.
+        lines: Lines of the request, ordered by time.
+        context: Lines about the state of its process and endpoints.
+        conclusion: Where and why it ended, in one sentence.
     """
 
     lines: tuple[LogLine, ...]
@@ -82,11 +82,11 @@
 
 
 def read_lines(source: str, lines: Iterable[str]) -> Iterator[LogLine]:
-    """Reads a log; other lines in it are skipped.
+    """Parses a log; lines that are not log events are skipped.
 
     Args:
-        source: Name for lines that have nothing before their JSON text.
-        lines: The lines; a collector may have put a name before each.
+        source: Source of lines without a prefix before the JSON document.
+        lines: Log lines; a log collector may have added a prefix to each.
     """
     for line in lines:
         prefix, brace, rest = line.partition("{")
@@ -103,11 +103,11 @@
 
 
 def explain(request_id: str, lines: Iterable[LogLine]) -> Explanation:
-    """Puts the lines of a request in order and tells how it ended.
+    """Collects the lines of a request and describes how it ended.
 
     Args:
         request_id: Id that the caller gave the request.
-        lines: Lines of all logs.
+        lines: Lines of all logs, in any order.
     """
     all_lines = sorted(lines, key=lambda line: line.at)
     request_lines = tuple(
@@ -125,7 +125,7 @@
 def _find_context(
     request_lines: Sequence[LogLine], all_lines: Sequence[LogLine]
 ) -> tuple[LogLine, ...]:
-    """Returns what is told of the request's process and endpoints."""
+    """Returns the lines about the request's processes and endpoints."""
     endpoints = {x.text("endpoint") for x in request_lines} - {""}
     sources = {_process_name(x.source) for x in request_lines}
     since, until = request_lines[0].at - CONTEXT_S, request_lines[-1].at
@@ -139,9 +139,9 @@
 
 
 def _is_context(line: LogLine, endpoints: set[str], same_process: bool) -> bool:
-    """Tells whether a line is about the endpoints or the own process.
+    """Returns whether a line is about the endpoints or the same process.
 
-    What other routers took over of an endpoint does not matter here.
+    `endpoint_known` events of other routers are irrelevant to the request.
     """
     if line.text("endpoint") in endpoints:
         return same_process or line.event != "endpoint_known"
@@ -149,7 +149,7 @@
 
 
 def _process_name(source: str) -> str:
-    """Name of the process in what a collector put before a line."""
+    """Returns the process name, the last word of a collector's prefix."""
     return source.split()[-1]
 
 
@@ -157,8 +157,8 @@
     ends = [x for x in request_lines if x.event in _FINAL_EVENTS]
     if not ends:
         return (
-            "its end is not told: the process ended first, or lines were left "
-            f"out; {_describe_last_attempt(request_lines)}"
+            "the logs do not show its end: the process ended first, or lines "
+            f"were dropped; {_describe_last_attempt(request_lines)}"
         )
     end = ends[-1]
     where = f"at {_process_name(end.source)}"
@@ -168,7 +168,7 @@
             return f"refused {where} with {end.text('status')}: {why}"
         case "caller_left":
             return (
-                f"the caller left {where}; "
+                f"the caller disconnected {where}; "
                 f"{_describe_last_attempt(request_lines)}"
             )
         case "stream_ended":
@@ -205,7 +205,7 @@
 ) -> str:
     events, duration_ms = end.text("events"), end.text("ms")
     if end.text("outcome") == "answered":
-        return f"a whole stream of {events} events {where} in {duration_ms} ms"
+        return f"complete stream of {events} events {where} in {duration_ms} ms"
     if end.text("outcome") == "broken_off":
         return (
             f"the stream broke off {where} after {events} events; "
@@ -226,5 +226,5 @@
         return f"endpoint {last.text('endpoint')} {what}"
     sent = [x for x in request_lines if x.event == "request_sent"]
     if sent:
-        return f"it was at endpoint {sent[-1].text('endpoint')}"
-    return "it was sent to no endpoint"
+        return f"it had been sent to endpoint {sent[-1].text('endpoint')}"
+    return "it was not sent to any endpoint"
--- a/knapweedarch/log_volume.py
+++ b/knapweedarch/log_volume.py
@@ -1,7 +1,7 @@
-"""Bounds of a process's log: lines per second, and a reader that is slow.
+"""Limits on a process's log: lines per second and buffered bytes.
 
-A line that does not fit is counted and left out. Writing never blocks: what
-the reader has not taken waits in memory, up to a limit.
+A line beyond a limit is dropped and counted. Writing never blocks: lines that
+the reader has not read yet are buffered in memory, up to a limit.
 """
 
 import contextlib
@@ -12,7 +12,7 @@
 
 import attrs
 
-# Far above what one process logs of one event under load; docs/CAPACITY.md.
+# Far above the rate of any event under load; see docs/CAPACITY.md.
 MAX_LINES_PER_WINDOW = 200
 WINDOW_S = 1.0
 MAX_PENDING_BYTES = 256 * 1024
@@ -20,10 +20,10 @@
 
 @attrs.define
 class LineRateLimiter:
-    """Lines of each event in the present second.
+    """Limits the lines of each event per window of `WINDOW_S`.
 
     Attributes:
-        left_out: Lines left out since they were last told, by event name.
+        dropped: Lines dropped since the last report, by event name.
     """
 
     max_lines: int = MAX_LINES_PER_WINDOW
@@ -32,7 +32,7 @@
     _window_lines: Counter[str] = attrs.field(factory=Counter)
 
     def allow(self, event: str, now: float) -> bool:
-        """Counts a line; tells whether it may be written."""
+        """Counts a line and returns whether it may be written."""
         if now - self._window_started_at >= WINDOW_S:
             self._window_started_at = now
             self._window_lines.clear()
@@ -43,7 +43,7 @@
         return False
 
     def take_dropped(self, now: float) -> dict[str, int]:
-        """Returns the lines left out before the present second, once."""
+        """Returns and resets the drop counts once the window has ended."""
         if not self.dropped or now - self._window_started_at < WINDOW_S:
             return {}
         dropped = dict(self.dropped)
@@ -52,11 +52,11 @@
 
 
 class NonBlockingLineWriter:
-    """Writes lines to a stream without ever waiting for its reader.
+    """Writes lines to a stream without blocking on its reader.
 
     Args:
         stream: A file, pipe or terminal; its descriptor becomes non-blocking.
-        pending_bytes: Bytes that may wait for the reader.
+        max_pending_bytes: Limit of the buffer for unread lines.
     """
 
     def __init__(
@@ -67,18 +67,18 @@
         self._pending = bytearray()
         self._descriptor = _get_descriptor(stream)
         if self._descriptor is not None:
-            # Not every kind of file can be made non-blocking; those that
-            # cannot, such as regular files, have no reader to wait for.
+            # Some kinds of file, such as regular files, cannot be made
+            # non-blocking, but they have no reader to wait for either.
             with contextlib.suppress(OSError):
                 os.set_blocking(self._descriptor, False)
 
     def write(self, line: str) -> bool:
-        """Writes a line, or keeps it; tells whether there was room."""
+        """Writes or buffers a line; returns False if it was dropped."""
         if self._descriptor is None:
             self._stream.write(line + "\n")
             return True
         data = line.encode() + b"\n"
-        # A line that was begun is always finished, so none is cut in two.
+        # Whole lines are buffered, so a partly written line is completed later.
         fits = len(self._pending) + len(data) <= self._max_pending_bytes
         if fits:
             self._pending += data
@@ -86,7 +86,7 @@
         return fits
 
     def flush(self) -> None:
-        """Writes what waits, as far as the reader has room."""
+        """Writes as many buffered bytes as the stream accepts."""
         if not self._pending:
             return
         try:
@@ -94,7 +94,8 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more; the lines are counted as left out.
+            # The reader is gone. New lines are counted as dropped once the
+            # buffer is full.
             written = 0
         del self._pending[:written]
 
--- a/knapweedarch/logs.py
+++ b/knapweedarch/logs.py
@@ -1,4 +1,4 @@
-"""Logs of numbered events, one JSON object a line, of bounded volume."""
+"""Logs numbered events as JSON lines, with a bounded volume."""
 
 import logging
 import sys
@@ -17,7 +17,7 @@
 
 
 class _Handler(logging.Handler):
-    """Formats records and writes what the bounds of the volume allow."""
+    """Formats records and writes them within the volume limits."""
 
     def __init__(self, stream: TextIO):
         super().__init__()
@@ -34,7 +34,7 @@
         )
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes a record or counts it as left out."""
+        """Writes a record, or counts it as dropped."""
         now = self._clock.now()
         if dropped := self._rate_limiter.take_dropped(now):
             self._write(create_record("lines_left_out", {"lines": dropped}))
@@ -43,7 +43,7 @@
             self._write(record)
 
     def flush(self) -> None:
-        """Writes what waits for the reader, as far as it has room."""
+        """Writes pending lines without blocking."""
         self._writer.flush()
 
     def _write(self, record: logging.LogRecord) -> None:
@@ -52,11 +52,11 @@
 
 
 def setup_logging(level: str, stream: TextIO | None = None) -> None:
-    """Directs the events of this process to a stream.
+    """Sends the log events of this process to a stream.
 
     Args:
         level: One of `LEVELS`; events below it are not written.
-        stream: Where lines go; standard output if None.
+        stream: Destination; standard output if None.
     """
     if level not in LEVELS:
         raise ValueError(f"log level {level!r} is not one of {LEVELS}")
@@ -64,17 +64,17 @@
     _logger.handlers[:] = [handler]
     _logger.setLevel(level.upper())
     _logger.propagate = False
-    # Lines of libraries, such as a fault in a request handler that the HTTP
-    # server reports, have no event number but the same form.
+    # Log records of libraries, such as a handler exception that the HTTP
+    # server reports, have no event number but the same format.
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(logging.WARNING)
 
 
 def create_record(event: str, fields: dict[str, object]) -> logging.LogRecord:
-    """Creates the record of a registered event."""
+    """Creates the log record of a registered event."""
     registered = EVENTS[event]
-    # The fields are nested, so that none can hide a field of the line itself.
+    # The fields are nested so that none can shadow a field of the line itself.
     extra = {
         "event": registered.number,
         "event_name": registered.name,
@@ -91,7 +91,7 @@
 
     Args:
         event: Name of the event in `events.EVENTS`.
-        **fields: What is known of this case; must be simple values.
+        **fields: Details of this occurrence; JSON-serializable values.
 
     Raises:
         KeyError: The event is not registered.
--- a/knapweedarch/metrics.py
+++ b/knapweedarch/metrics.py
@@ -1,8 +1,8 @@
-"""Registry of metrics, sent to `statsd` by UDP and kept in process.
+"""Registry of metrics, sent to `statsd` by UDP and kept in the process.
 
-`docs/METRICS.md` is generated from the registry. An unknown name raises, so a
-misspelt counter fails in the first scenario that reaches it. `Metrics.page`
-returns them in the text format that common scrapers read.
+`docs/METRICS.md` is generated from the registry. An unregistered name raises
+KeyError, so a misspelt name fails in the first scenario that uses it.
+`Metrics.page` returns all metrics in the Prometheus text format.
 """
 
 import bisect
@@ -17,8 +17,8 @@
 from knapweedarch.models import RefusalReason, RequestEnd, RetryReason
 
 NAMESPACE = "knapweedarch"
-# Upper bounds of the histograms in seconds: from a step of a runner to the
-# longest time limit of a route.
+# Upper bounds of the histogram buckets: from one step of a runner to the
+# longest timeout of a route.
 BUCKETS_S = (
     *(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4),
     *(0.6, 1.0, 1.5, 2.5, 4.0, 6.0, 10.0, 15.0),
@@ -26,7 +26,7 @@
 
 
 class MetricKind(str, enum.Enum):
-    """What a metric records."""
+    """Type of a metric."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class Label:
-    """A property by which a scraper tells metrics of one family apart."""
+    """A label that distinguishes metrics of one family."""
 
     name: str
     value: str
@@ -47,10 +47,10 @@
 
     Attributes:
         name: Name without the prefix of the process.
-        kind: What it records.
-        text: What is counted or measured, with its unit.
-        family: Name that it shares with others of the same labels.
-        labels: What tells it apart from those.
+        kind: Type of the metric.
+        text: Description of the value, with its unit.
+        family: Name shared by metrics that differ only in label values.
+        labels: Labels that distinguish it within the family.
     """
 
     name: str
@@ -61,7 +61,7 @@
 
     @property
     def exported_family(self) -> str:
-        """Name of the family as scrapers see it."""
+        """Name of the family on the metrics page."""
         unit = "_seconds" if self.kind is MetricKind.TIMING else ""
         return f"{NAMESPACE}_{self.family.replace('.', '_')}{unit}"
 
@@ -69,36 +69,44 @@
 _C, _G, _T = MetricKind.COUNTER, MetricKind.GAUGE, MetricKind.TIMING
 
 _UNLABELLED_METRICS = (
-    Metric("requests.started", _C, "Requests read from callers."),
-    Metric("requests.finished", _C, "Requests answered in full."),
+    Metric("requests.started", _C, "Requests received from callers."),
+    Metric("requests.finished", _C, "Requests answered completely."),
     Metric("requests.running", _G, "Requests in progress."),
     Metric("requests.waiting", _G, "Requests in the queue."),
     Metric("streams.resumed", _C, "Streams continued on another runner."),
     Metric("first_token", _T, "Time to the first token."),
-    Metric("journal.save", _T, "Time of one save with its sync."),
-    Metric("deployment.version", _G, "Number of the configuration in use."),
-    Metric("lease.left_s", _G, "Seconds until the lease ends."),
-    Metric("loads.age_s", _G, "Age of what other routers told of their load."),
-    Metric("feeds.followed", _G, "Runners and stores whose events arrive."),
+    Metric("journal.save", _T, "Duration of one journal write with its sync."),
+    Metric("deployment.version", _G, "Version of the configuration in use."),
+    Metric("lease.left_s", _G, "Seconds until the lease expires."),
+    Metric("loads.age_s", _G, "Age of the loads reported by other routers."),
+    Metric(
+        "feeds.followed", _G, "Runners and stores with a connected event feed."
+    ),
     Metric("tokens.cached", _C, "Prompt tokens found in a runner's cache."),
     Metric("tokens.computed", _C, "Prompt tokens computed by runners."),
-    Metric("tokens.wasted", _C, "Prompt tokens missed in an expected cache."),
-    Metric("cancelled", _C, "Requests whose caller left before the end."),
-    Metric("crossed.dropped", _C, "Answers dropped that match no attempt."),
+    Metric(
+        "tokens.wasted", _C, "Prompt tokens missing from the expected cache."
+    ),
+    Metric("cancelled", _C, "Requests whose caller disconnected early."),
+    Metric(
+        "crossed.dropped",
+        _C,
+        "Responses dropped because they match no attempt.",
+    ),
     Metric("credential.refused", _C, "Peers with a wrong credential."),
     Metric("lease.held", _G, "1 while this router holds a lease, else 0."),
-    Metric("lease.renewed", _C, "Grants received."),
-    Metric("lease.expired", _C, "Leases that ended without a renewal."),
-    Metric("lease.renewal_failed", _C, "Renewals that got no grant."),
+    Metric("lease.renewed", _C, "Lease grants received."),
+    Metric("lease.expired", _C, "Leases that expired without a renewal."),
+    Metric("lease.renewal_failed", _C, "Lease renewals that were not granted."),
     Metric("rules.version", _G, "Version of the rules in use."),
-    Metric("endpoints.active", _G, "Endpoints that may get new work."),
+    Metric("endpoints.active", _G, "Endpoints that may receive new requests."),
     Metric("endpoints.announced", _C, "Announcements received."),
-    Metric("feed.lost", _C, "Feeds of runners that broke."),
+    Metric("feed.lost", _C, "Event feeds of runners that failed."),
     Metric("orders.failed", _C, "Orders that a runner did not confirm."),
     Metric("member.leads", _G, "1 while this member leads, else 0."),
     Metric("member.term", _G, "Term of this member."),
     Metric("member.commit_index", _G, "Highest committed log index."),
-    Metric("member.routers", _G, "Routers with a running lease."),
+    Metric("member.routers", _G, "Routers with an unexpired lease."),
     Metric("member.records", _G, "At-most-once records kept."),
 )
 
@@ -133,7 +141,7 @@
 
 
 class Histogram:
-    """Counts of durations up to each bound.
+    """Durations counted in buckets.
 
     Attributes:
         total_s: Sum of all durations in seconds.
@@ -144,12 +152,12 @@
         self.total_s = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Counts a duration."""
+        """Adds a duration."""
         self._counts[bisect.bisect_left(BUCKETS_S, seconds)] += 1
         self.total_s += seconds
 
     def buckets(self) -> list[tuple[str, int]]:
-        """Returns each bound and how many durations were not above it."""
+        """Returns each upper bound with its cumulative count."""
         bounds = [*map(str, BUCKETS_S), "+Inf"]
         return list(
             zip(bounds, itertools.accumulate(self._counts), strict=True)
@@ -160,7 +168,7 @@
     """Metrics of one process.
 
     Attributes:
-        counts: Totals of the counters since the start.
+        counts: Totals of the counters since the process started.
         gauges: Latest values of the gauges.
         histograms: Distributions of the timings.
     """
@@ -208,15 +216,15 @@
             self._client.timing(name, seconds * 1000.0)
 
     def page(self) -> bytes:
-        """Returns all metrics as a page for scrapers."""
-        # Most processes never serve the page, and callers wait for a process
-        # that was restarted, so the library is loaded with the first one.
+        """Returns all metrics in the Prometheus text format."""
+        # Imported on first use: most processes never serve the page, and a
+        # faster start shortens the wait of callers after a restart.
         from knapweedarch.metrics_page import format_page
 
         return format_page(self)
 
     def close(self) -> None:
-        """Closes the socket."""
+        """Closes the statsd socket."""
         if self._client is not None:
             self._client.close()
             self._client = None
@@ -232,14 +240,14 @@
     """Creates the metrics of this process.
 
     Args:
-        host: IP number of the statsd server; None keeps counts in process.
+        host: IP address of the statsd server; None sends nothing.
         port: UDP port of the server.
-        prefix: Put before each name, with a full stop.
+        prefix: Prepended to each name, with a full stop.
     """
     if host is None:
         return Metrics(None)
     client = statsd.StatsClient(host, port, prefix=prefix, ipv6=":" in host)
-    # A full socket buffer must drop the metric and not block the event loop.
-    # The client ignores the error but offers no option for it.
+    # With a full socket buffer, a metric is dropped instead of blocking the
+    # event loop. The client ignores the error but has no option for this.
     client._sock.setblocking(False)
     return Metrics(client)
--- a/knapweedarch/metrics_page.py
+++ b/knapweedarch/metrics_page.py
@@ -1,4 +1,4 @@
-"""Formats the metrics of a process as text that common scrapers read."""
+"""Formats the metrics of a process in the Prometheus text format."""
 
 from collections.abc import Iterator
 
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class _Collector:
-    """Yields the families; its one method is called by the library."""
+    """Collector that prometheus_client calls for the metric families."""
 
     metrics: Metrics
 
@@ -55,5 +55,5 @@
 
 
 def format_page(metrics: Metrics) -> bytes:
-    """Formats all metrics of a process."""
+    """Returns the metrics page of a process."""
     return prometheus_client.generate_latest(_Collector(metrics))
--- a/knapweedarch/metrics_server.py
+++ b/knapweedarch/metrics_server.py
@@ -1,4 +1,4 @@
-"""Serves the metrics of a process to scrapers."""
+"""HTTP server for the metrics page of a process."""
 
 import functools
 
--- a/knapweedarch/reports.py
+++ b/knapweedarch/reports.py
@@ -1,6 +1,6 @@
-"""What the command-line tool prints, as text or as one JSON document.
+"""Output of the command-line tool, as text or as one JSON document.
 
-Results go to standard output; faults and request ids go to standard error.
+Results go to standard output; errors and request ids go to standard error.
 """
 
 import datetime
@@ -27,7 +27,7 @@
 
 
 def warn(text: str) -> None:
-    """Prints a line on standard error, at once."""
+    """Prints a line on standard error and flushes it."""
     print(text, file=sys.stderr, flush=True)
 
 
@@ -39,7 +39,7 @@
 
 
 def print_faults(as_json: bool, faults: Sequence[str], code: int) -> int:
-    """Prints faults, one a line; returns the exit code."""
+    """Prints one fault per line; returns the exit code."""
     for fault in faults:
         warn(fault)
     if as_json:
@@ -69,7 +69,7 @@
 
 
 def print_checked(file: pathlib.Path, rules: Rules, as_json: bool) -> None:
-    """Prints the sizes of a correct rule file."""
+    """Prints the entry counts of a valid rule file."""
     sizes = {
         "customers": len(rules.customers),
         "models": len(rules.models),
@@ -80,9 +80,9 @@
 
 
 def print_settings(file: pathlib.Path, role: str, as_json: bool) -> None:
-    """Prints that a settings file is correct."""
+    """Prints that a settings file is valid."""
     document = {"result": "done", "role": role}
-    _print(as_json, document, [f"{file}: correct settings of a {role}"])
+    _print(as_json, document, [f"{file}: valid settings of a {role}"])
 
 
 def print_diff(
@@ -145,7 +145,7 @@
 
 
 def print_list(reply: StatusReply, as_json: bool) -> None:
-    """Prints the endpoints, and in JSON the rule file as well."""
+    """Prints the endpoints; the JSON document also has the rule file."""
     entries = sorted(reply.endpoints, key=lambda e: e.endpoint.id)
     endpoints = [_describe_endpoint(entry) for entry in entries]
     document = {
@@ -162,7 +162,7 @@
 
 
 def print_status(reply: StatusReply, as_json: bool) -> None:
-    """Prints who leads, who takes part and how much is stored."""
+    """Prints the leader, members, routers and table sizes."""
     members = [
         {"name": m.name, "identity": m.identity, "voter": m.voter}
         for m in reply.members
@@ -192,7 +192,7 @@
 
 
 def print_explanation(explanation: Explanation, as_json: bool) -> int:
-    """Prints a request's lines; returns 1 if there are none."""
+    """Prints the lines of a request; returns 1 if there are none."""
     document = {
         "conclusion": explanation.conclusion,
         "lines": [attrs.asdict(line) for line in explanation.lines],
@@ -200,7 +200,7 @@
     }
     lines = [_format_line(line) for line in explanation.lines]
     if explanation.context:
-        lines += ["", "What was told of its process and endpoints before:"]
+        lines += ["", "Related events of its process and endpoints:"]
         lines += [_format_line(line) for line in explanation.context]
     _print(as_json, document, [*lines, "", explanation.conclusion])
     return EXIT_DONE if explanation.lines else EXIT_REFUSED
