--- a/features/steps/platform_site_steps.py
+++ b/features/steps/platform_site_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a platform site of real processes."""
+"""Steps for a platform site that runs as separate processes."""
 
 import contextlib
 import io
@@ -16,10 +16,10 @@
 
 
 class ScenarioPlan:
-    """What a scenario does while its site is up.
+    """Actions of a scenario against a running site.
 
-    A site lives in one event loop, so the steps collect actions and the last
-    ones run them.
+    A site is bound to one event loop, so the steps collect actions and the
+    final step runs them all in one loop.
     """
 
     def __init__(self, members, proxies, runners):
@@ -30,7 +30,7 @@
         self.expected = configuration(1)
 
     def run(self, check):
-        """Plays the actions, then the check."""
+        """Opens the site and runs the actions, then the check."""
 
         async def run_actions():
             async with open_site(*self.shape, SCENARIO_TIMEOUT_S) as site:
@@ -58,7 +58,7 @@
     context.plan = ScenarioPlan(members, proxies, runners)
 
 
-@given("configuration {version:d} with a route more is confirmed")
+@given("configuration {version:d} with an additional route is confirmed")
 def put_configuration(context, version):
     plan = context.plan
     plan.expected = configuration(version, "seats")
@@ -72,7 +72,7 @@
 
 @when(
     "{streams:d} streams of {tokens:d} tokens and {bookings:d} bookings are"
-    " asked for"
+    " requested"
 )
 def send_streams_and_bookings(context, streams, tokens, bookings):
     plan = context.plan
@@ -98,7 +98,7 @@
 
 
 @when(
-    "{count:d} streams of {tokens:d} tokens are asked for one after the other"
+    "{count:d} streams of {tokens:d} tokens are requested one after the other"
 )
 def send_streams_in_turn(context, count, tokens):
     async def action(site):
@@ -111,7 +111,7 @@
     context.plan.actions.append(action)
 
 
-@when("weights {version:d} are named while streams go on")
+@when("weights {version:d} are named while streams are running")
 def put_weights_version(context, version):
     plan = context.plan
     plan.tokens = 15
@@ -154,7 +154,7 @@
     plan.actions.append(action)
 
 
-@then("each stream is whole")
+@then("each stream is complete")
 def check_streams(context):
     plan = context.plan
 
@@ -168,7 +168,7 @@
 
 
 async def wait_for_exit_codes(site, plan):
-    """Waits for the processes that the scenario stopped."""
+    """Waits for the stopped processes; returns their exit codes by name."""
     codes = {}
     for name in getattr(plan, "stopped", ()):
         popen = site.processes[name].popen
@@ -176,7 +176,7 @@
     return codes
 
 
-@then("each stream is whole and each booking was run once")
+@then("each stream is complete and each booking was executed once")
 def check_streams_and_bookings(context):
     plan = context.plan
 
@@ -204,7 +204,7 @@
     plan.run(check)
 
 
-@then("less than half of the prompts' tokens were read")
+@then("less than half of the prompt tokens were computed")
 def check_computed_tokens(context):
     async def check(site):
         runs = [r for x in site.runners if x.model for r in x.runs]
@@ -236,7 +236,7 @@
     context.plan.actions.append(action)
 
 
-@when("runner {number:d} leaves and that is confirmed")
+@when("runner {number:d} leaves and the leave is confirmed")
 def drain_runner(context, number):
     async def action(site):
         site.runners[number - 1].leaving = True
@@ -245,7 +245,7 @@
     context.plan.actions.append(action)
 
 
-@then("{later:f} s later runner {number:d} gets none of {count:d} streams")
+@then("{later:f} s later runner {number:d} receives none of {count:d} streams")
 def check_no_new_streams(context, later, number, count):
     async def check(site):
         await anyio.sleep(later)
@@ -282,12 +282,12 @@
     plan.actions.append(action)
 
 
-@then("proxy {number:d} ends with code {code:d}")
+@then("proxy {number:d} exits with code {code:d}")
 def check_proxy_exit_code(context, number, code):
     assert context.exit_codes == {f"proxy-{number}": code}
 
 
-@then("the tool tells where request {number:d} was answered")
+@then("the tool explains where request {number:d} was answered")
 def check_explanation(context, number):
     async def check(site):
         logs = [str(path) for path in site.folder.glob("*.log")]
--- a/scripts/check_core.py
+++ b/scripts/check_core.py
@@ -1,4 +1,4 @@
-"""Checks that core modules import nothing that does input or output."""
+"""Checks that core modules perform no I/O and use no global randomness."""
 
 import ast
 import pathlib
@@ -33,7 +33,7 @@
 
 
 def find_violations(path: pathlib.Path) -> list[str]:
-    """Lists the forbidden imports and calls of one module."""
+    """Returns the forbidden imports and calls of one module."""
     violations = []
     for node in ast.walk(ast.parse(path.read_text())):
         match node:
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,4 @@
-"""Shows the whole path: three members, two routers, runners and a desk."""
+"""End-to-end demo: three members, two routers, runners and a desk service."""
 
 import hashlib
 import json
@@ -30,13 +30,13 @@
 
 
 def check(condition: bool, text: str) -> None:
-    """Ends the demo if something is not as it should be."""
+    """Ends the demo with an error if a condition is not met."""
     if not condition:
         raise SystemExit(f"demo failed: {text}")
 
 
 def stream_chat(url: str, max_tokens: int, on_chunk=None) -> tuple[str, bool]:
-    """Streams one answer; returns its text and whether it ended properly."""
+    """Streams one answer; returns its text and whether [DONE] arrived."""
     body = {
         "model": "guide",
         "stream": True,
@@ -67,7 +67,7 @@
 
 
 def run_tool(cluster: Deployment, *arguments: str) -> str:
-    """Runs the command-line tool and prints what it prints."""
+    """Runs the command-line tool and prints its output."""
     done = cluster.tool(*arguments)
     print(f"$ knapweedarch {' '.join(arguments)}\n{done.stdout}", end="")
     check(done.returncode == 0, f"{arguments[0]}: {done.stderr}")
@@ -75,7 +75,7 @@
 
 
 def start_deployment(cluster: Deployment) -> None:
-    """Starts all processes and puts the first rule file in force."""
+    """Starts all processes and applies the first rule file."""
     for member in cluster.members:
         cluster.start_member(member["name"])
     run_tool(cluster, "form")
@@ -102,7 +102,7 @@
 
 
 def post_deposit(cluster: Deployment, router: str) -> httpx.Response:
-    """Takes a deposit under a fixed idempotency key."""
+    """Posts a deposit with a fixed idempotency key."""
     return httpx.post(
         f"{cluster.url(router)}/services/booking/deposits",
         json={"guest": "R. Haile", "amount": 400},
@@ -124,7 +124,7 @@
 
 
 def show_killed_runner(cluster: Deployment, expected_text: str) -> None:
-    """Kills the runner that streams, and compares the caller's text."""
+    """Kills the streaming runner and compares the text that arrives."""
     killed = []
 
     def kill_streaming_runner(text: str) -> None:
@@ -141,21 +141,25 @@
         cluster.url("router-1"), 120, kill_streaming_runner
     )
     print(f"killed {killed}; the caller got {len(text)} characters")
-    check(bool(killed), "no runner was killed in mid-stream")
-    check(completed and text == expected_text, "the text is not whole")
+    check(bool(killed), "no runner was killed during the stream")
+    check(
+        completed and text == expected_text, "the text is incomplete or differs"
+    )
 
 
 def show_retirement(cluster: Deployment) -> None:
-    """Retires a runner and shows that it gets no new work."""
+    """Retires a runner and checks that it receives no new requests."""
     run_tool(cluster, "retire", "runner-1")
     before = httpx.get(f"{cluster.url('runner-1')}/stats").json()["runs"]
     for _ in range(6):
         for router in ("router-1", "router-2"):
             _, completed = stream_chat(cluster.url(router), 5)
-            check(completed, "a stream was cut after retire")
+            check(
+                completed, "a stream was truncated after the runner was retired"
+            )
     after = httpx.get(f"{cluster.url('runner-1')}/stats").json()["runs"]
     print(f"runner-1 ran {before} before and {after} after 12 more requests")
-    check(before == after, "a retired runner got new work")
+    check(before == after, "a retired runner received new requests")
 
 
 def run(cluster: Deployment) -> None:
@@ -167,8 +171,10 @@
     print_heading("A streamed answer")
     expected_text, completed = stream_chat(cluster.url("router-1"), 120)
     print(expected_text[:70] + " ...")
-    check(completed and bool(expected_text), "the stream did not end properly")
-    print_heading("A deposit sent twice, taken once")
+    check(
+        completed and bool(expected_text), "the stream did not end with [DONE]"
+    )
+    print_heading("A deposit sent twice and executed once")
     show_deposit(cluster)
     print_heading(
         "A rule change, in force at every router when the tool returns"
@@ -179,9 +185,11 @@
     started = time.monotonic()
     run_tool(cluster, "apply", str(rules))
     print(f"in force after {time.monotonic() - started:.2f} s")
-    print_heading("A retired runner gets no new work")
+    print_heading("A retired runner receives no new requests")
     show_retirement(cluster)
-    print_heading("A runner killed in mid-stream; the caller does not notice")
+    print_heading(
+        "A runner is killed during a stream; the caller gets the whole text"
+    )
     show_killed_runner(cluster, expected_text)
     print_heading("Status and counters")
     run_tool(cluster, "status")
@@ -189,9 +197,9 @@
         f"{cluster.url('router-1')}/counters",
         headers={"authorization": f"Bearer {CREDENTIAL}"},
     )
-    check(answer.status_code == 200, "the counters were not shown")
+    check(answer.status_code == 200, "the counters request failed")
     print(json.dumps(answer.json(), indent=1))
-    print_heading("Planned stop")
+    print_heading("Planned shutdown")
     codes = {
         name: cluster.stop(name) for name in ("desk-1", "router-1", "router-2")
     }
--- a/scripts/run_checks.py
+++ b/scripts/run_checks.py
@@ -1,4 +1,4 @@
-"""Runs every check of the repository and prints one verdict."""
+"""Runs all checks of the repository and prints the totals."""
 
 import json
 import pathlib
@@ -12,7 +12,7 @@
 REQUIRED_CHECKS = (
     ("formatter", ["ruff", "format", "--check", "."]),
     ("linter", ["ruff", "check", "."]),
-    ("core has no input or output", [sys.executable, "scripts/check_core.py"]),
+    ("core modules perform no I/O", [sys.executable, "scripts/check_core.py"]),
 )
 OPTIONAL_CHECKS = (
     ("catalogues match the registries", "scripts/check_catalogues.py"),
@@ -43,7 +43,7 @@
 
 
 def print_errors(scenario: dict) -> None:
-    """Prints why the steps of a scenario failed; one may never fail again."""
+    """Prints the errors of failed steps, as a flaky failure may not recur."""
     for step in scenario.get("steps", []):
         lines = step.get("result", {}).get("error_message") or []
         if lines:
@@ -52,7 +52,7 @@
 
 
 def run_scenarios(arguments: list[str]) -> tuple[int, int, int]:
-    """Runs behave; returns the counts of passed, failed and known red."""
+    """Runs behave; returns the numbers passed, failed and known to fail."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         done = subprocess.run(
             [
--- a/standins/platform_runner.py
+++ b/standins/platform_runner.py
@@ -1,8 +1,8 @@
-"""A runner of the users' platform, small, for tests without their bench.
+"""Minimal runner of the users' platform, for tests without their bench.
 
-It runs requests in a batch of a few places, keeps parts of prompts, tells
-cache events, loads weights on order and sends heartbeats. Plain services are
-runners without a model.
+Runs a limited number of requests at once, caches prompt parts, publishes cache
+events, loads weights on order and sends heartbeats. Plain services are runners
+without a model.
 """
 
 import collections
@@ -31,7 +31,7 @@
 
 @attrs.define
 class Run:
-    """A request that was begun, as the runner saw it."""
+    """A request that the runner started."""
 
     request_id: str
     customer: str
@@ -46,17 +46,18 @@
 
     Attributes:
         id: Instance id.
-        host: IP number that it listens on.
+        host: IP address that it listens on.
         zone: Its data centre.
         service: Service that it belongs to.
         model: Model that it serves; empty for a plain service.
-        controls: Returns the control addresses to send heartbeats to.
-        places: Requests that run at once.
+        control_addresses: Returns the addresses to send heartbeats to.
+        concurrency: Requests that run at once.
         weights: Version of its weights.
-        port: Port, once it is started.
-        runs: Requests that were begun, in order.
-        leaving: Whether it tells that it leaves.
-        left: Set when that was confirmed.
+        port: Port that it listens on, once it is started.
+        runs: Started requests, in order.
+        leaving: Whether its heartbeats report that it is draining.
+        leave_confirmed: Set when a member confirmed that heartbeat.
+        order_count: Number of accepted orders.
     """
 
     id: str
@@ -95,7 +96,7 @@
                 await anyio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def send_heartbeat(self) -> None:
-        """Tells its state to the first control address that confirms it."""
+        """Sends its state to the control addresses until one confirms it."""
         self._heartbeats += 1
         body = {
             "service": self.service,
@@ -237,7 +238,7 @@
         run.done = True
 
     def _compute_prompt(self, req: Request) -> int:
-        """Notes the parts of a prompt; returns the tokens that it reads."""
+        """Caches the parts of a prompt; returns the tokens to compute."""
         salt, read, cached = _header(req, HEADER_PREFIX + "Cache-Salt"), 0, True
         for entry in _header(req, HEADER_PREFIX + "Prefix-Hash").split(","):
             part, _, tokens = entry.partition(":")
@@ -273,5 +274,5 @@
 
 
 def count_runs(runners: list[PlatformRunner]) -> collections.Counter:
-    """Counts how often each request was begun at any of the runners."""
+    """Counts how often each request was started on all runners."""
     return collections.Counter(r.request_id for x in runners for r in x.runs)
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -1,9 +1,9 @@
-"""A site of the users' platform on loopback, for tests without their bench.
+"""Simulates a site of the users' platform on loopback, without their bench.
 
-It starts the real processes as the platform does, with its settings files,
-and runs runners, an operator and callers in the test's event loop. Members,
-routers and runners have IP numbers of their own, so that ports are the same
-everywhere.
+Starts the actual member and proxy processes with the platform's settings files
+and runs the runners, the operator and the callers in the test's event loop.
+Members, routers and runners have separate IP addresses, so that port numbers
+are the same on every instance.
 """
 
 import contextlib
@@ -72,7 +72,7 @@
 
 
 def configuration(version: int, extra_route: str = "") -> dict:
-    """Builds a configuration; a later one may have a route more."""
+    """Builds a configuration, optionally with an additional route."""
     routes = [
         _route("chat", "streaming", "guide-models", 2),
         _route("booking", "non_idempotent", "desk", 1),
@@ -90,14 +90,14 @@
 
 @attrs.define
 class Process:
-    """A process of the system.
+    """A member or proxy process.
 
     Attributes:
         role: `member` or `proxy`.
-        name: Name of its machine.
-        host: Its IP number.
-        settings: Its settings file.
-        popen: The running process.
+        name: Name of its instance.
+        host: IP address of its instance.
+        settings: Path of its settings file.
+        popen: The process, once it has been started.
     """
 
     role: str
@@ -108,7 +108,7 @@
 
 
 class PlatformSite:
-    """Processes, runners, an operator and callers."""
+    """Runs processes and runners, and acts as operator and callers."""
 
     def __init__(self, group: anyio.abc.TaskGroup):
         self._group = group
@@ -134,7 +134,7 @@
         return process
 
     def start_processes(self, members: int, proxies: int) -> None:
-        """Starts members and proxies for the first time."""
+        """Creates and starts members and proxies with bootstrap enabled."""
         for number in range(1, members + 1):
             self._add_process("member", number)
         for number in range(1, proxies + 1):
@@ -189,13 +189,13 @@
             )
 
     def kill(self, name: str) -> None:
-        """Ends a process at once."""
+        """Kills a process and waits for its exit."""
         process = self.processes[name]
         process.popen.kill()
         process.popen.wait()
 
     def restart_all(self) -> None:
-        """Kills every process, then starts each one on its old disk."""
+        """Kills every process, then restarts each with its data folder."""
         for name in self.processes:
             self.kill(name)
         for name, process in self.processes.items():
@@ -207,7 +207,7 @@
         self.processes[name].popen.send_signal(signal.SIGTERM)
 
     def close(self) -> None:
-        """Ends every process and removes the folder."""
+        """Kills the remaining processes and removes the folder."""
         for process in self.processes.values():
             if process.popen is not None and process.popen.poll() is None:
                 process.popen.kill()
@@ -215,7 +215,7 @@
         shutil.rmtree(self.folder)
 
     def control_addresses(self) -> list[str]:
-        """Control addresses of the members."""
+        """Returns the control addresses of the members."""
         return [
             f"{p.host}:{self._control_port}"
             for p in self.processes.values()
@@ -223,11 +223,11 @@
         ]
 
     def proxy_url(self, name: str) -> str:
-        """Base URL at which a proxy takes callers."""
+        """Returns the base URL of a proxy for callers."""
         return f"http://{self.processes[name].host}:{self._proxy_port}"
 
     async def add_runner(self, service: str, model: str = "") -> None:
-        """Starts a runner; it announces itself."""
+        """Starts a runner, which registers itself by heartbeats."""
         number = len(self.runners) + 1
         runner = PlatformRunner(
             id=f"i-{number}",
@@ -241,7 +241,7 @@
         await self._group.start(runner.run)
 
     async def call_control(self, method: str, path: str, document=None) -> int:
-        """Makes an operator's call at any member until one answers it."""
+        """Sends an operator's request to random members until one responds."""
         until = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until:
             address = random.choice(self.control_addresses())
@@ -253,10 +253,10 @@
                     self.answer = answer
                     return answer.status_code
             await anyio.sleep(POLL_INTERVAL_S)
-        raise TimeoutError(f"no member answered {method} {path}")
+        raise TimeoutError(f"no member responded to {method} {path}")
 
     async def is_ready(self, name: str) -> bool:
-        """Tells whether a proxy says that it is ready."""
+        """Returns whether the readiness check of a proxy passes."""
         url = f"http://{self.processes[name].host}:{self._ready_port}/api/ready"
         try:
             return (await self.client.get(url)).status_code == 200
@@ -266,15 +266,17 @@
     async def wait(
         self, probe: Callable, limit_s: float = START_TIMEOUT_S
     ) -> float:
-        """Waits until `await probe()` is true; returns how long it took.
+        """Polls until `await probe()` is true; returns the seconds waited.
 
         Raises:
-            TimeoutError: It was not within the limit.
+            TimeoutError: The limit passed first.
         """
         started_at = time.monotonic()
         while not await probe():
             if time.monotonic() - started_at > limit_s:
-                raise TimeoutError(f"not within {limit_s} s")
+                raise TimeoutError(
+                    f"the condition was not met within {limit_s} s"
+                )
             await anyio.sleep(POLL_INTERVAL_S)
         return time.monotonic() - started_at
 
@@ -287,7 +289,7 @@
     async def send_request(
         self, proxy: str, path: str, tokens: int = 0
     ) -> httpx.Response:
-        """Sends a caller's request; returns the whole answer."""
+        """Sends a caller's request; returns the complete response."""
         self._requests += 1
         headers = {
             "Host": HOST,
@@ -318,7 +320,7 @@
 async def open_site(
     members: int, proxies: int, runners: int, limit_s: float
 ) -> AsyncIterator[PlatformSite]:
-    """Opens a site with a configuration in force and every proxy ready."""
+    """Opens a site with a configuration applied and every proxy ready."""
     with anyio.fail_after(limit_s):
         async with anyio.create_task_group() as group:
             site = PlatformSite(group)
