--- a/features/steps/observability_steps.py
+++ b/features/steps/observability_steps.py
@@ -85,14 +85,14 @@
 @when("a caller sends {count:d} requests that each log 4 lines")
 def send_logged_requests(context, count):
     async def run():
-        context.answers, context.latest_s = [], 0.0
+        context.answers, context.slowest_s = [], 0.0
         async with open_proxy() as site:
             await site.add_runner(context.modes[0])
             for _ in range(count):
                 began_at = anyio.current_time()
                 answer = await site.send(request("once"), idle_s=0.001)
                 taken_s = anyio.current_time() - began_at
-                context.latest_s = max(context.latest_s, taken_s)
+                context.slowest_s = max(context.slowest_s, taken_s)
                 context.answers.append(answer.status)
                 for _ in range(2):
                     logs.log(OTHER_EVENT, detail=LONG_TEXT)
@@ -103,33 +103,33 @@
 @then("all of them are answered, none later than {limit:f} s")
 def check_all_answered(context, limit):
     assert set(context.answers) == {200}, context.answers
-    assert context.latest_s <= limit, context.latest_s
+    assert context.slowest_s <= limit, context.slowest_s
 
 
 @when("the pipe is read again and a line is logged")
 def read_pipe(context):
     os.set_blocking(context.pipe, False)
-    context.piped = b""
+    context.pipe_output = b""
     for _ in range(100):
         logs.log("started")
         with contextlib.suppress(BlockingIOError):
             while data := os.read(context.pipe, 65_536):
-                context.piped += data
+                context.pipe_output += data
     get_handler()._clock = ManualClock(get_handler()._clock.now() + 2.0)
     logs.log("started")
     with contextlib.suppress(BlockingIOError):
-        context.piped += os.read(context.pipe, 65_536)
+        context.pipe_output += os.read(context.pipe, 65_536)
 
 
 @then("the pipe contained only complete lines")
 def check_complete_lines(context):
-    assert context.piped.endswith(b"\n")
-    assert len(parse_event_names(context.piped.decode())) > 100
+    assert context.pipe_output.endswith(b"\n")
+    assert len(parse_event_names(context.pipe_output.decode())) > 100
 
 
 @then("lines are reported as dropped")
 def check_pipe_dropped_lines(context):
-    assert "lines_left_out" in parse_event_names(context.piped.decode())
+    assert "lines_left_out" in parse_event_names(context.pipe_output.decode())
 
 
 @given("a metrics server")
--- a/knapweedarch/cli.py
+++ b/knapweedarch/cli.py
@@ -207,7 +207,7 @@
         settings: Settings file with members and credential.
         json: Print one JSON document.
     """
-    given = {
+    options = {
         "url": url,
         "kind": EndpointKind(kind) if kind else None,
         "serves": tuple(filter(None, serves.split(","))),
@@ -215,16 +215,16 @@
         "data_centre": data_centre,
         "incarnation": incarnation,
     }
-    given = {key: value for key, value in given.items() if value}
-    _check_texts(endpoint_id, *map(str, given.values()))
+    options = {key: value for key, value in options.items() if value}
+    _check_texts(endpoint_id, *map(str, options.values()))
     if url and not _is_url(url):
         raise UsageError(
             f"--url: {url!r}; allowed: http://, an IP address and a port"
         )
     loaded = api.load(settings)
-    order = api.announce_order(endpoint_id, repr(sorted(given.items())))
+    order = api.announce_order(endpoint_id, repr(sorted(options.items())))
     request_id = _print_request_id(request_id, order)
-    endpoint = _build_endpoint(api.status(loaded), endpoint_id, given)
+    endpoint = _build_endpoint(api.status(loaded), endpoint_id, options)
     if endpoint is None:
         return reports.print_refused(
             json,
@@ -265,17 +265,17 @@
 
 
 def _build_endpoint(
-    reply: StatusReply, endpoint_id: str, given: dict
+    reply: StatusReply, endpoint_id: str, options: dict
 ) -> Endpoint | None:
     """Returns the endpoint to announce, or None if options are missing."""
     for entry in reply.endpoints:
         if entry.endpoint.id == endpoint_id:
             return attrs.evolve(
-                entry.endpoint, status=EndpointStatus.ACTIVE, **given
+                entry.endpoint, status=EndpointStatus.ACTIVE, **options
             )
-    if not {"url", "kind", "serves", "incarnation"} <= given.keys():
+    if not {"url", "kind", "serves", "incarnation"} <= options.keys():
         return None
-    return Endpoint(id=endpoint_id, **given)
+    return Endpoint(id=endpoint_id, **options)
 
 
 def retire(
--- a/scripts/check_catalogues.py
+++ b/scripts/check_catalogues.py
@@ -49,10 +49,10 @@
             ) if call in LOG_CALLS | METRIC_CALLS:
                 place = f"{path.name}:{node.lineno}"
                 for name, complete in possible_names(first):
-                    yield Use(place, call, receiver(func), name, complete)
+                    yield Use(place, call, receiver_name(func), name, complete)
 
 
-def receiver(func: ast.expr) -> str:
+def receiver_name(func: ast.expr) -> str:
     """Returns the last name before the method, without leading underscores."""
     match func:
         case ast.Attribute(value=ast.Name(id=name) | ast.Attribute(attr=name)):
@@ -88,18 +88,18 @@
         if path.name in REGISTRIES:
             continue
         for use in find_uses(path):
-            known = EVENTS if use.call in LOG_CALLS else METRICS
-            found = {
+            registered = EVENTS if use.call in LOG_CALLS else METRICS
+            matches = {
                 name
-                for name in known
+                for name in registered
                 if name == use.name
                 or (not use.complete and name.startswith(use.name))
             }
-            unused -= found
+            unused -= matches
             must_be_registered = (
                 use.call in LOG_CALLS or use.receiver in METRIC_RECEIVERS
             )
-            if not found and must_be_registered:
+            if not matches and must_be_registered:
                 faults.append(
                     f"{use.place} uses {use.name!r}, which is not registered"
                 )
--- a/standins/platform_runner.py
+++ b/standins/platform_runner.py
@@ -239,16 +239,20 @@
 
     def _compute_prompt(self, req: Request) -> int:
         """Caches the parts of a prompt; returns the tokens to compute."""
-        salt, read, cached = _header(req, HEADER_PREFIX + "Cache-Salt"), 0, True
+        salt, computed, cached = (
+            _header(req, HEADER_PREFIX + "Cache-Salt"),
+            0,
+            True,
+        )
         for entry in _header(req, HEADER_PREFIX + "Prefix-Hash").split(","):
             part, _, tokens = entry.partition(":")
             if not tokens:
                 continue
             cached = cached and (salt, part) in self._cached_parts
             if not cached:
-                read += int(tokens)
+                computed += int(tokens)
                 self._record_change("+", salt, part, int(tokens))
-        return read
+        return computed
 
     async def _stream(
         self, req: Request, headers, responder: Responder
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -127,8 +127,8 @@
         self._requests = 0
 
     def _add_process(self, role: str, number: int) -> Process:
-        place = number + (100 if role == "proxy" else 0)
-        host, name = f"{self._network}.{place}", f"{role}-{number}"
+        host_number = number + (100 if role == "proxy" else 0)
+        host, name = f"{self._network}.{host_number}", f"{role}-{number}"
         process = Process(role, name, host, self.folder / f"{name}.conf")
         self.processes[name] = process
         return process
@@ -242,8 +242,8 @@
 
     async def call_control(self, method: str, path: str, document=None) -> int:
         """Sends an operator's request to random members until one responds."""
-        until = time.monotonic() + START_TIMEOUT_S
-        while time.monotonic() < until:
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline:
             address = random.choice(self.control_addresses())
             with contextlib.suppress(httpx.HTTPError):
                 answer = await self.client.request(
