--- a/features/observability.feature
+++ b/features/observability.feature
@@ -10,7 +10,7 @@
 
   Scenario: A reader that stops reading costs lines and no time
     Guards against requests that block on a slow log collector.
-    Given logs that go to a pipe without a reader
+    Given logs that go to a pipe that is not read
     And a proxied runner that answers
     When a caller sends 400 requests that each log 4 lines
     Then all of them are answered, none later than 0.25 s
--- a/features/steps/observability_steps.py
+++ b/features/steps/observability_steps.py
@@ -69,7 +69,7 @@
     assert summary["fields"] == {"lines": {FIRST_EVENT: count}}, summary
 
 
-@given("logs that go to a pipe without a reader")
+@given("logs that go to a pipe that is not read")
 def log_to_unread_pipe(context):
     reader, writer = os.pipe()
     context.pipe = reader
--- a/knapweedarch/events.py
+++ b/knapweedarch/events.py
@@ -60,7 +60,7 @@
         107,
         "lines_left_out",
         _W,
-        "Log lines were dropped; `lines` has the counts.",
+        "Log lines were dropped and counted.",
     ),
     Event(108, "process_was_stopped", _W, "The process was paused for a time."),
     Event(201, "leader_started", _I, "This member became the leader."),
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -172,7 +172,8 @@
     expected_text, completed = stream_chat(cluster.url("router-1"), 120)
     print(expected_text[:70] + " ...")
     check(
-        completed and bool(expected_text), "the stream did not end with [DONE]"
+        completed and bool(expected_text),
+        "the stream was empty or did not end with [DONE]",
     )
     print_heading("A deposit sent twice and executed once")
     show_deposit(cluster)
