--- a/knapweedarch/cli.py
+++ b/knapweedarch/cli.py
@@ -1,7 +1,7 @@
-"""Command-line tool of the operators.
+"""Command-line tool for operators.
 
-Exit codes: 0 done; 1 refused or in conflict; 2 wrong usage or a faulty file;
-3 the members cannot be reached and nothing was changed; 4 the outcome is
+Exit codes: 0 done; 1 refused or in conflict; 2 invalid usage or an invalid
+file; 3 the members are unreachable and nothing was changed; 4 the outcome is
 unknown, and the order must be resent under the same request id.
 """
 
@@ -45,14 +45,14 @@
 EXIT_UNKNOWN = 4
 MAX_VERSION = 2**63 - 1
 MAX_ID_CHARACTERS = 128
-INTERRUPTED = (
-    "the command broke off; if it gave an order, the outcome is unknown: "
+INTERRUPTED_TEXT = (
+    "the command was interrupted; if it sent an order, the outcome is unknown: "
     "resend with the same request id"
 )
 
 
 class UsageError(KnapweedarchError):
-    """An argument is out of range.
+    """An argument is invalid.
 
     Attributes:
         faults: One text per fault.
@@ -73,7 +73,7 @@
 
     Args:
         file: Rule file.
-        settings: Not used; accepted so that all commands take one option.
+        settings: Ignored; accepted so that all commands share the option.
         json: Print one JSON document.
     """
     text = rule_files.read_rules_text(file)
@@ -98,7 +98,7 @@
     settings: pathlib.Path = DEFAULT_SETTINGS,
     json: bool = False,
 ) -> int:
-    """Compare a rule file with the rules in force, and note their version.
+    """Compare a rule file with the rules in force and record their version.
 
     Args:
         file: Rule file.
@@ -106,11 +106,11 @@
         json: Print one JSON document.
     """
     text = rule_files.read_rules_text(file)
-    found = api.status(api.load(settings))
-    changes = diff_rules(parse_rules(found.rules_text), parse_rules(text))
-    noted = rule_files.write_base_version(file, found.rules_version)
-    same_text = text == found.rules_text
-    reports.print_diff(found.rules_version, changes, same_text, json)
+    reply = api.status(api.load(settings))
+    changes = diff_rules(parse_rules(reply.rules_text), parse_rules(text))
+    noted = rule_files.write_base_version(file, reply.rules_version)
+    same_text = text == reply.rules_text
+    reports.print_diff(reply.rules_version, changes, same_text, json)
     if not noted:
         reports.warn(f"cannot write {file}.base; give --base to apply")
     return EXIT_DONE
@@ -128,8 +128,8 @@
 
     Args:
         file: Rule file.
-        base: Version that the file is based on; by default the version noted
-            by the last diff or apply of this file, or 0 if there is none.
+        base: Version that the file is based on; by default the version
+            recorded by the last diff or apply of this file, or 0.
         request_id: Id of an earlier order, to resend it.
         settings: Settings file with members and credential.
         json: Print one JSON document.
@@ -140,7 +140,7 @@
     if not 0 <= base <= MAX_VERSION:
         raise UsageError(f"--base: {base}; allowed: 0 to {MAX_VERSION}")
     loaded = api.load(settings)
-    request_id = _announce_id(request_id, api.apply_order(text, base))
+    request_id = _print_request_id(request_id, api.apply_order(text, base))
     match api.apply(loaded, file, base, request_id):
         case RulesAccepted(version=version):
             return reports.print_done(
@@ -154,7 +154,7 @@
                 request_id,
                 version=version,
             )
-    raise AssertionError("no such result")
+    raise AssertionError("unexpected result")
 
 
 def list_all(
@@ -170,11 +170,11 @@
         settings: Settings file with members and credential.
         json: Print one JSON document with endpoints and rule file.
     """
-    found = api.status(api.load(settings))
+    reply = api.status(api.load(settings))
     if rules and not json:
-        sys.stdout.write(found.rules_text)
+        sys.stdout.write(reply.rules_text)
     else:
-        reports.print_list(found, json)
+        reports.print_list(reply, json)
     return EXIT_DONE
 
 
@@ -193,21 +193,21 @@
 ) -> int:
     """Announce an endpoint, ending its retirement.
 
-    The options are needed only for an endpoint that is not known yet.
+    The options are required only for an unknown endpoint.
 
     Args:
         endpoint_id: Name of the endpoint.
-        url: Base URL with an IP number.
+        url: Base URL with an IP address.
         kind: Runner or service.
         serves: Models of a runner, separated by commas, or the service.
         weights_version: Version of the weights that a runner has loaded.
         data_centre: Data centre of the endpoint.
-        incarnation: Incarnation that the endpoint names in its answers.
+        incarnation: Incarnation that the endpoint sends in its responses.
         request_id: Id of an earlier order, to resend it.
         settings: Settings file with members and credential.
         json: Print one JSON document.
     """
-    given = {
+    options = {
         "url": url,
         "kind": EndpointKind(kind) if kind else None,
         "serves": tuple(filter(None, serves.split(","))),
@@ -215,16 +215,16 @@
         "data_centre": data_centre,
         "incarnation": incarnation,
     }
-    given = {key: value for key, value in given.items() if value}
-    _check_texts(endpoint_id, *map(str, given.values()))
+    options = {key: value for key, value in options.items() if value}
+    _check_texts(endpoint_id, *map(str, options.values()))
     if url and not _is_url(url):
         raise UsageError(
-            f"--url: {url!r}; allowed: http://, an IP number and a port"
+            f"--url: {url!r}; allowed: http://, an IP address and a port"
         )
     loaded = api.load(settings)
-    order = api.announce_order(endpoint_id, repr(sorted(given.items())))
-    request_id = _announce_id(request_id, order)
-    endpoint = _endpoint(api.status(loaded), endpoint_id, given)
+    order = api.announce_order(endpoint_id, repr(sorted(options.items())))
+    request_id = _print_request_id(request_id, order)
+    endpoint = _build_endpoint(api.status(loaded), endpoint_id, options)
     if endpoint is None:
         return reports.print_refused(
             json,
@@ -241,7 +241,7 @@
 
 
 def _check_texts(*texts: str) -> None:
-    """Refuses texts that no endpoint can have, such as malformed UTF-8."""
+    """Rejects texts that no endpoint can have, such as malformed UTF-8."""
     for text in texts:
         if not text.isprintable() or len(text) > MAX_ID_CHARACTERS:
             raise UsageError(
@@ -251,7 +251,7 @@
 
 
 def _is_url(text: str) -> bool:
-    """Tells whether a text is http, an IP number and a port."""
+    """Returns whether a text is an http URL with an IP address and a port."""
     try:
         parts = urllib.parse.urlsplit(text)
         ipaddress.ip_address(parts.hostname or "")
@@ -264,18 +264,18 @@
         return False
 
 
-def _endpoint(
-    found: StatusReply, endpoint_id: str, given: dict
+def _build_endpoint(
+    reply: StatusReply, endpoint_id: str, options: dict
 ) -> Endpoint | None:
-    """Returns the endpoint to announce, or None if too little is known."""
-    for entry in found.endpoints:
+    """Returns the endpoint to announce, or None if options are missing."""
+    for entry in reply.endpoints:
         if entry.endpoint.id == endpoint_id:
             return attrs.evolve(
-                entry.endpoint, status=EndpointStatus.ACTIVE, **given
+                entry.endpoint, status=EndpointStatus.ACTIVE, **options
             )
-    if not {"url", "kind", "serves", "incarnation"} <= given.keys():
+    if not {"url", "kind", "serves", "incarnation"} <= options.keys():
         return None
-    return Endpoint(id=endpoint_id, **given)
+    return Endpoint(id=endpoint_id, **options)
 
 
 def retire(
@@ -295,7 +295,7 @@
     """
     _check_texts(endpoint_id)
     loaded = api.load(settings)
-    request_id = _announce_id(request_id, api.retire_order(endpoint_id))
+    request_id = _print_request_id(request_id, api.retire_order(endpoint_id))
     return _report_endpoint(
         json,
         endpoint_id,
@@ -317,14 +317,14 @@
         case TableFull():
             text = "the table of endpoints is full"
         case _:
-            raise AssertionError(f"no such result: {result}")
+            raise AssertionError(f"unexpected result: {result}")
     return reports.print_refused(json, text, request_id)
 
 
 def status(
     *, settings: pathlib.Path = DEFAULT_SETTINGS, json: bool = False
 ) -> int:
-    """Print leader, members, routers and sizes.
+    """Print the leader, members, routers and table sizes.
 
     Args:
         settings: Settings file with members and credential.
@@ -350,11 +350,11 @@
 
 
 def explain(request_id: str, *files: pathlib.Path, json: bool = False) -> int:
-    """Find a request in the logs of all processes and tell how it ended.
+    """Find a request in the logs of all processes and explain how it ended.
 
     Args:
         request_id: Id that the caller gave the request.
-        files: Logs; a name before the JSON text of a line is kept.
+        files: Log files; a prefix before the JSON document of a line is kept.
         json: Print one JSON document.
     """
     if not files:
@@ -383,8 +383,8 @@
 }
 
 
-def _announce_id(request_id: str, order: api.Order) -> str:
-    """Prints the request id before the order is sent, for a resend."""
+def _print_request_id(request_id: str, order: api.Order) -> str:
+    """Prints the request id before the order is sent; allows a resend."""
     if request_id:
         api.check_request_id(request_id, order)
     else:
@@ -405,26 +405,27 @@
     except RequestIdError as exc:
         return reports.print_faults(json, [str(exc)], EXIT_USAGE)
     except ControlError as exc:
-        return _report_control(json, exc)
+        return _report_control_error(json, exc)
     except KeyboardInterrupt:
-        return reports.print_faults(json, [INTERRUPTED], EXIT_UNKNOWN)
+        return reports.print_faults(json, [INTERRUPTED_TEXT], EXIT_UNKNOWN)
     except Exception:
-        # Python would end with code 1, which promises that nothing was done.
+        # An unhandled exception would exit with code 1, which means that
+        # nothing was done.
         traceback.print_exc()
-        return reports.print_faults(json, [INTERRUPTED], EXIT_UNKNOWN)
+        return reports.print_faults(json, [INTERRUPTED_TEXT], EXIT_UNKNOWN)
 
 
-def _report_control(json: bool, exc: ControlError) -> int:
+def _report_control_error(json: bool, exc: ControlError) -> int:
     codes = {"refused": EXIT_REFUSED, "unreachable": EXIT_UNREACHABLE}
-    found = codes.get(exc.reason, EXIT_UNKNOWN)
+    exit_code = codes.get(exc.reason, EXIT_UNKNOWN)
     text = str(exc)
-    if found == EXIT_UNKNOWN:
+    if exit_code == EXIT_UNKNOWN:
         text += "; the outcome is unknown: resend with the same request id"
-    return reports.print_faults(json, [text], found)
+    return reports.print_faults(json, [text], exit_code)
 
 
 def main() -> None:
-    """Entry point."""
+    """Runs the command of `sys.argv` and exits with its code."""
     sys.exit(run(sys.argv[1:]))
 
 
--- a/knapweedarch/log_volume.py
+++ b/knapweedarch/log_volume.py
@@ -1,7 +1,7 @@
-"""Bounds of a process's log: lines per second, and a reader that is slow.
+"""Limits on a process's log: lines per second and buffered bytes.
 
-A line that does not fit is counted and left out. Writing never blocks: what
-the reader has not taken waits in memory, up to a limit.
+A line beyond a limit is dropped and counted. Writing never blocks: lines that
+the reader has not read yet are buffered in memory, up to a limit.
 """
 
 import contextlib
@@ -12,79 +12,81 @@
 
 import attrs
 
-# Far above what one process logs of one event under load; docs/CAPACITY.md.
-LINES_PER_EVENT_S = 200
+# Far above the rate of any event under load; see docs/CAPACITY.md.
+MAX_LINES_PER_WINDOW = 200
 WINDOW_S = 1.0
-PENDING_BYTES = 256 * 1024
+MAX_PENDING_BYTES = 256 * 1024
 
 
 @attrs.define
-class LineLimit:
-    """Lines of each event in the present second.
+class LineRateLimiter:
+    """Limits the lines of each event per window of `WINDOW_S`.
 
     Attributes:
-        left_out: Lines left out since they were last told, by event name.
+        dropped: Lines dropped since the last report, by event name.
     """
 
-    most: int = LINES_PER_EVENT_S
-    left_out: Counter[str] = attrs.field(factory=Counter)
-    _since: float = 0.0
-    _written: Counter[str] = attrs.field(factory=Counter)
+    max_lines: int = MAX_LINES_PER_WINDOW
+    dropped: Counter[str] = attrs.field(factory=Counter)
+    _window_started_at: float = 0.0
+    _window_lines: Counter[str] = attrs.field(factory=Counter)
 
     def allow(self, event: str, now: float) -> bool:
-        """Counts a line; tells whether it may be written."""
-        if now - self._since >= WINDOW_S:
-            self._since = now
-            self._written.clear()
-        self._written[event] += 1
-        if self._written[event] <= self.most:
+        """Counts a line and returns whether it may be written."""
+        if now - self._window_started_at >= WINDOW_S:
+            self._window_started_at = now
+            self._window_lines.clear()
+        self._window_lines[event] += 1
+        if self._window_lines[event] <= self.max_lines:
             return True
-        self.left_out[event] += 1
+        self.dropped[event] += 1
         return False
 
-    def take_left_out(self, now: float) -> dict[str, int]:
-        """Returns the lines left out before the present second, once."""
-        if not self.left_out or now - self._since < WINDOW_S:
+    def take_dropped(self, now: float) -> dict[str, int]:
+        """Returns and resets the drop counts once the window has ended."""
+        if not self.dropped or now - self._window_started_at < WINDOW_S:
             return {}
-        found = dict(self.left_out)
-        self.left_out.clear()
-        return found
+        dropped = dict(self.dropped)
+        self.dropped.clear()
+        return dropped
 
 
-class LineWriter:
-    """Writes lines to a stream without ever waiting for its reader.
+class NonBlockingLineWriter:
+    """Writes lines to a stream without blocking on its reader.
 
     Args:
         stream: A file, pipe or terminal; its descriptor becomes non-blocking.
-        pending_bytes: Bytes that may wait for the reader.
+        max_pending_bytes: Limit of the buffer for unread lines.
     """
 
-    def __init__(self, stream: TextIO, pending_bytes: int = PENDING_BYTES):
+    def __init__(
+        self, stream: TextIO, max_pending_bytes: int = MAX_PENDING_BYTES
+    ):
         self._stream = stream
-        self._most = pending_bytes
+        self._max_pending_bytes = max_pending_bytes
         self._pending = bytearray()
-        self._descriptor = _descriptor(stream)
+        self._descriptor = _get_descriptor(stream)
         if self._descriptor is not None:
-            # Not every kind of file can be made non-blocking; those that
-            # cannot, such as regular files, have no reader to wait for.
+            # Some kinds of file, such as regular files, cannot be made
+            # non-blocking, but they have no reader to wait for either.
             with contextlib.suppress(OSError):
                 os.set_blocking(self._descriptor, False)
 
     def write(self, line: str) -> bool:
-        """Writes a line, or keeps it; tells whether there was room."""
+        """Writes or buffers a line; returns False if it was dropped."""
         if self._descriptor is None:
             self._stream.write(line + "\n")
             return True
         data = line.encode() + b"\n"
-        # A line that was begun is always finished, so none is cut in two.
-        fits = len(self._pending) + len(data) <= self._most
+        # Whole lines are buffered, so a partly written line is completed later.
+        fits = len(self._pending) + len(data) <= self._max_pending_bytes
         if fits:
             self._pending += data
         self.flush()
         return fits
 
     def flush(self) -> None:
-        """Writes what waits, as far as the reader has room."""
+        """Writes as many buffered bytes as the stream accepts."""
         if not self._pending:
             return
         try:
@@ -92,12 +94,13 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more; the lines are counted as left out.
+            # The reader is gone. New lines are counted as dropped once the
+            # buffer is full.
             written = 0
         del self._pending[:written]
 
 
-def _descriptor(stream: TextIO) -> int | None:
+def _get_descriptor(stream: TextIO) -> int | None:
     try:
         return stream.fileno()
     except (io.UnsupportedOperation, AttributeError):
--- a/knapweedarch/logs.py
+++ b/knapweedarch/logs.py
@@ -1,4 +1,4 @@
-"""Logs of numbered events, one JSON object a line, of bounded volume."""
+"""Logs numbered events as JSON lines, with a bounded volume."""
 
 import logging
 import sys
@@ -7,23 +7,23 @@
 from pythonjsonlogger.json import JsonFormatter
 
 from knapweedarch.events import EVENTS
-from knapweedarch.log_volume import LineLimit, LineWriter
+from knapweedarch.log_volume import LineRateLimiter, NonBlockingLineWriter
 from knapweedarch.timers import Clock
 
 LEVELS = ("debug", "info", "warning", "error")
-NO_ROOM = "no room for the line"
+BUFFER_FULL = "no room for the line"
 
 _logger = logging.getLogger("knapweedarch")
 
 
 class _Handler(logging.Handler):
-    """Formats records and writes what the bounds of the volume allow."""
+    """Formats records and writes them within the volume limits."""
 
     def __init__(self, stream: TextIO):
         super().__init__()
         self._clock = Clock()
-        self._limit = LineLimit()
-        self._writer = LineWriter(stream)
+        self._rate_limiter = LineRateLimiter()
+        self._writer = NonBlockingLineWriter(stream)
         self.setFormatter(
             JsonFormatter(
                 "{levelname}{message}",
@@ -34,29 +34,29 @@
         )
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes a record or counts it as left out."""
+        """Writes a record, or counts it as dropped."""
         now = self._clock.now()
-        if left_out := self._limit.take_left_out(now):
-            self._write(create_record("lines_left_out", {"lines": left_out}))
+        if dropped := self._rate_limiter.take_dropped(now):
+            self._write(create_record("lines_left_out", {"lines": dropped}))
         name = getattr(record, "event_name", record.name)
-        if self._limit.allow(name, now):
+        if self._rate_limiter.allow(name, now):
             self._write(record)
 
     def flush(self) -> None:
-        """Writes what waits for the reader, as far as it has room."""
+        """Writes pending lines without blocking."""
         self._writer.flush()
 
     def _write(self, record: logging.LogRecord) -> None:
         if not self._writer.write(self.format(record)):
-            self._limit.left_out[NO_ROOM] += 1
+            self._rate_limiter.dropped[BUFFER_FULL] += 1
 
 
 def setup_logging(level: str, stream: TextIO | None = None) -> None:
-    """Directs the events of this process to a stream.
+    """Sends the log events of this process to a stream.
 
     Args:
         level: One of `LEVELS`; events below it are not written.
-        stream: Where lines go; standard output if None.
+        stream: Destination; standard output if None.
     """
     if level not in LEVELS:
         raise ValueError(f"log level {level!r} is not one of {LEVELS}")
@@ -64,20 +64,24 @@
     _logger.handlers[:] = [handler]
     _logger.setLevel(level.upper())
     _logger.propagate = False
-    # Lines of libraries, such as a fault in a request handler that the HTTP
-    # server reports, have no event number but the same form.
+    # Log records of libraries, such as a handler exception that the HTTP
+    # server reports, have no event number but the same format.
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(logging.WARNING)
 
 
 def create_record(event: str, fields: dict[str, object]) -> logging.LogRecord:
-    """Creates the record of a registered event."""
-    known = EVENTS[event]
-    # The fields are nested, so that none can hide a field of the line itself.
-    extra = {"event": known.number, "event_name": known.name, "fields": fields}
+    """Creates the log record of a registered event."""
+    registered = EVENTS[event]
+    # The fields are nested so that none can shadow a field of the line itself.
+    extra = {
+        "event": registered.number,
+        "event_name": registered.name,
+        "fields": fields,
+    }
     return _logger.makeRecord(
-        *(_logger.name, known.level, "", 0, known.text, (), None),
+        *(_logger.name, registered.level, "", 0, registered.text, (), None),
         extra=extra,
     )
 
@@ -87,13 +91,13 @@
 
     Args:
         event: Name of the event in `events.EVENTS`.
-        **fields: What is known of this case; must be simple values.
+        **fields: Details of this occurrence; JSON-serializable values.
 
     Raises:
         KeyError: The event is not registered.
     """
-    known = EVENTS.get(event)
-    if known is None:
+    registered = EVENTS.get(event)
+    if registered is None:
         raise KeyError(f"event {event!r} is not registered in events.py")
-    if _logger.isEnabledFor(known.level):
+    if _logger.isEnabledFor(registered.level):
         _logger.handle(create_record(event, fields))
--- a/knapweedarch/metrics_page.py
+++ b/knapweedarch/metrics_page.py
@@ -1,4 +1,4 @@
-"""Formats the metrics of a process as text that common scrapers read."""
+"""Formats the metrics of a process in the Prometheus text format."""
 
 from collections.abc import Iterator
 
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class _Collector:
-    """Yields the families; its one method is called by the library."""
+    """Collector that prometheus_client calls for the metric families."""
 
     metrics: Metrics
 
@@ -29,15 +29,17 @@
         families: dict[str, list[Metric]] = {}
         for metric in ALL_METRICS:
             families.setdefault(metric.exported_family, []).append(metric)
-        for name, members in families.items():
-            yield _family(self.metrics, name, members)
+        for name, family_metrics in families.items():
+            yield _create_family(self.metrics, name, family_metrics)
 
 
-def _family(metrics: Metrics, name: str, members: list[Metric]):
-    first = members[0]
-    labels = [label.name for label in first.labels]
-    family = _FAMILIES[first.kind](name, first.text, labels=labels)
-    for metric in members:
+def _create_family(metrics: Metrics, name: str, family_metrics: list[Metric]):
+    first_metric = family_metrics[0]
+    labels = [label.name for label in first_metric.labels]
+    family = _FAMILIES[first_metric.kind](
+        name, first_metric.text, labels=labels
+    )
+    for metric in family_metrics:
         values = [label.value for label in metric.labels]
         match metric.kind:
             case MetricKind.COUNTER:
@@ -53,5 +55,5 @@
 
 
 def format_page(metrics: Metrics) -> bytes:
-    """Formats all metrics of a process."""
+    """Returns the metrics page of a process."""
     return prometheus_client.generate_latest(_Collector(metrics))
--- a/knapweedarch/reports.py
+++ b/knapweedarch/reports.py
@@ -1,6 +1,6 @@
-"""What the command-line tool prints, as text or as one JSON document.
+"""Output of the command-line tool, as text or as one JSON document.
 
-Results go to standard output; faults and request ids go to standard error.
+Results go to standard output; errors and request ids go to standard error.
 """
 
 import datetime
@@ -19,7 +19,7 @@
 
 EXIT_DONE = 0
 EXIT_REFUSED = 1
-_SIGNS = {
+_CHANGE_SIGNS = {
     ChangeKind.ADDED: "+",
     ChangeKind.REMOVED: "-",
     ChangeKind.CHANGED: "~",
@@ -27,7 +27,7 @@
 
 
 def warn(text: str) -> None:
-    """Prints a line on standard error, at once."""
+    """Prints a line on standard error and flushes it."""
     print(text, file=sys.stderr, flush=True)
 
 
@@ -39,7 +39,7 @@
 
 
 def print_faults(as_json: bool, faults: Sequence[str], code: int) -> int:
-    """Prints faults, one a line; returns the exit code."""
+    """Prints one fault per line; returns the exit code."""
     for fault in faults:
         warn(fault)
     if as_json:
@@ -69,7 +69,7 @@
 
 
 def print_checked(file: pathlib.Path, rules: Rules, as_json: bool) -> None:
-    """Prints the sizes of a correct rule file."""
+    """Prints the entry counts of a valid rule file."""
     sizes = {
         "customers": len(rules.customers),
         "models": len(rules.models),
@@ -80,9 +80,9 @@
 
 
 def print_settings(file: pathlib.Path, role: str, as_json: bool) -> None:
-    """Prints that a settings file is correct."""
+    """Prints that a settings file is valid."""
     document = {"result": "done", "role": role}
-    _print(as_json, document, [f"{file}: correct settings of a {role}"])
+    _print(as_json, document, [f"{file}: valid settings of a {role}"])
 
 
 def print_diff(
@@ -96,7 +96,7 @@
     if not changes:
         lines.append("no difference" if same_text else "only comments differ")
     for change in changes:
-        lines += _change_lines(change)
+        lines += _format_change(change)
     document = {
         "result": "done",
         "version": version,
@@ -114,8 +114,8 @@
     _print(as_json, document, lines)
 
 
-def _change_lines(change: RuleChange) -> list[str]:
-    lines = [f"{_SIGNS[change.change]} {change.kind} {change.name}"]
+def _format_change(change: RuleChange) -> list[str]:
+    lines = [f"{_CHANGE_SIGNS[change.change]} {change.kind} {change.name}"]
     for field in change.fields:
         match change.change:
             case ChangeKind.ADDED:
@@ -129,7 +129,7 @@
     return lines
 
 
-def _endpoint_document(entry: EndpointEntry) -> dict:
+def _describe_endpoint(entry: EndpointEntry) -> dict:
     endpoint = entry.endpoint
     return {
         "id": endpoint.id,
@@ -144,39 +144,39 @@
     }
 
 
-def print_list(found: StatusReply, as_json: bool) -> None:
-    """Prints the endpoints, and in JSON the rule file as well."""
-    entries = sorted(found.endpoints, key=lambda e: e.endpoint.id)
-    endpoints = [_endpoint_document(entry) for entry in entries]
+def print_list(reply: StatusReply, as_json: bool) -> None:
+    """Prints the endpoints; the JSON document also has the rule file."""
+    entries = sorted(reply.endpoints, key=lambda e: e.endpoint.id)
+    endpoints = [_describe_endpoint(entry) for entry in entries]
     document = {
-        "rules_version": found.rules_version,
-        "rules_text": found.rules_text,
+        "rules_version": reply.rules_version,
+        "rules_text": reply.rules_text,
         "endpoints": endpoints,
     }
-    shown = ("id", "status", "kind", "weights_version", "data_centre", "url")
+    columns = ("id", "status", "kind", "weights_version", "data_centre", "url")
     lines = [
-        "  ".join([*(e[key] or "-" for key in shown), ",".join(e["serves"])])
+        "  ".join([*(e[key] or "-" for key in columns), ",".join(e["serves"])])
         for e in endpoints
     ]
     _print(as_json, document, lines or ["no endpoints"])
 
 
-def print_status(found: StatusReply, as_json: bool) -> None:
-    """Prints who leads, who takes part and how much is stored."""
+def print_status(reply: StatusReply, as_json: bool) -> None:
+    """Prints the leader, members, routers and table sizes."""
     members = [
         {"name": m.name, "identity": m.identity, "voter": m.voter}
-        for m in found.members
+        for m in reply.members
     ]
     document = {
-        "leader": found.leader,
-        "term": found.term,
-        "commit_index": found.commit_index,
-        "rules_version": found.rules_version,
-        "endpoints": len(found.endpoints),
+        "leader": reply.leader,
+        "term": reply.term,
+        "commit_index": reply.commit_index,
+        "rules_version": reply.rules_version,
+        "endpoints": len(reply.endpoints),
         "members": members,
-        "routers": list(found.routers),
-        "records": found.records,
-        "fencing_number": found.fencing_number,
+        "routers": list(reply.routers),
+        "records": reply.records,
+        "fencing_number": reply.fencing_number,
     }
     described = [
         f"{m['name']} ({'voter' if m['voter'] else 'learner'})" for m in members
@@ -184,30 +184,32 @@
     texts = {
         **document,
         "members": ", ".join(described),
-        "routers": ", ".join(found.routers) or "none",
+        "routers": ", ".join(reply.routers) or "none",
     }
     _print(
         as_json, document, [f"{key}: {value}" for key, value in texts.items()]
     )
 
 
-def print_explanation(found: Explanation, as_json: bool) -> int:
-    """Prints a request's lines; returns 1 if there are none."""
+def print_explanation(explanation: Explanation, as_json: bool) -> int:
+    """Prints the lines of a request; returns 1 if there are none."""
     document = {
-        "conclusion": found.conclusion,
-        "lines": [attrs.asdict(line) for line in found.lines],
-        "context": [attrs.asdict(line) for line in found.context],
+        "conclusion": explanation.conclusion,
+        "lines": [attrs.asdict(line) for line in explanation.lines],
+        "context": [attrs.asdict(line) for line in explanation.context],
     }
-    lines = [_line_text(line) for line in found.lines]
-    if found.context:
-        lines += ["", "What was told of its process and endpoints before:"]
-        lines += [_line_text(line) for line in found.context]
-    _print(as_json, document, [*lines, "", found.conclusion])
-    return EXIT_DONE if found.lines else EXIT_REFUSED
+    lines = [_format_line(line) for line in explanation.lines]
+    if explanation.context:
+        lines += ["", "Related events of its process and endpoints:"]
+        lines += [_format_line(line) for line in explanation.context]
+    _print(as_json, document, [*lines, "", explanation.conclusion])
+    return EXIT_DONE if explanation.lines else EXIT_REFUSED
 
 
-def _line_text(line: LogLine) -> str:
+def _format_line(line: LogLine) -> str:
     at = datetime.datetime.fromtimestamp(line.at, datetime.UTC)
     fields = {k: v for k, v in line.fields.items() if k != "request"}
-    told = ", ".join(f"{k} {v}" for k, v in fields.items() if v not in ("", []))
-    return f"{at:%H:%M:%S.%f} {line.source} {line.event}: {told}"
+    details = ", ".join(
+        f"{k} {v}" for k, v in fields.items() if v not in ("", [])
+    )
+    return f"{at:%H:%M:%S.%f} {line.source} {line.event}: {details}"
--- a/scripts/check_catalogues.py
+++ b/scripts/check_catalogues.py
@@ -1,8 +1,8 @@
-"""Checks events and metrics: registries, catalogues and uses must agree.
+"""Checks that events and metrics agree with their catalogues and uses.
 
 With `--write`, writes docs/EVENTS.md and docs/METRICS.md from the registries.
-Without it, fails if a catalogue differs from its registry, if the package logs
-or counts a name that is not registered, or if a registered name is not used.
+Without it, fails if a catalogue differs from its registry, if the package uses
+an unregistered event or metric, or if a registered name is unused.
 """
 
 import ast
@@ -19,28 +19,28 @@
 from knapweedarch.metrics import METRICS, MetricKind  # noqa: E402
 
 PACKAGE = ROOT / "knapweedarch"
-FOLDERS = (PACKAGE, ROOT / "platform" / "adapter")
+SOURCE_DIRECTORIES = (PACKAGE, ROOT / "platform" / "adapter")
 REGISTRIES = {"events.py", "metrics.py"}
 LOG_CALLS = {"log", "create_record"}
 METRIC_CALLS = {"count", "gauge", "timing"}
-# Texts and lists have a method `count` as well; only these receivers count
-# metrics.
+# Strings and lists also have a method `count`; only calls on these receivers
+# are metrics.
 METRIC_RECEIVERS = {"metrics", "router", "self"}
 
 
 @attrs.frozen
 class Use:
-    """A name in a call; `whole` is false for the start of a longer name."""
+    """A name in a call; `complete` is false if it is only a prefix."""
 
     place: str
     call: str
     receiver: str
     name: str
-    whole: bool
+    complete: bool
 
 
-def uses(path: pathlib.Path) -> Iterator[Use]:
-    """Finds the calls of one module that may log or count."""
+def find_uses(path: pathlib.Path) -> Iterator[Use]:
+    """Finds the calls of one module that may log an event or use a metric."""
     for node in ast.walk(ast.parse(path.read_text())):
         match node:
             case ast.Call(
@@ -48,11 +48,11 @@
                 args=[first, *_],
             ) if call in LOG_CALLS | METRIC_CALLS:
                 place = f"{path.name}:{node.lineno}"
-                for name, whole in names(first):
-                    yield Use(place, call, receiver(func), name, whole)
+                for name, complete in possible_names(first):
+                    yield Use(place, call, receiver_name(func), name, complete)
 
 
-def receiver(func: ast.expr) -> str:
+def receiver_name(func: ast.expr) -> str:
     """Returns the last name before the method, without leading underscores."""
     match func:
         case ast.Attribute(value=ast.Name(id=name) | ast.Attribute(attr=name)):
@@ -60,37 +60,46 @@
     return ""
 
 
-def names(node: ast.expr) -> Iterator[tuple[str, bool]]:
-    """Returns the names that an argument can have, as far as it shows."""
+def possible_names(node: ast.expr) -> Iterator[tuple[str, bool]]:
+    """Returns the names that can be read from the argument expression.
+
+    The flag is false if only the literal start of the name is known.
+    """
     match node:
         case ast.Constant(value=str(name)):
             yield name, True
         case ast.JoinedStr(values=[ast.Constant(value=str(start)), *_]):
             yield start, False
         case ast.IfExp(body=body, orelse=orelse):
-            yield from names(body)
-            yield from names(orelse)
+            yield from possible_names(body)
+            yield from possible_names(orelse)
 
 
 def check_uses() -> tuple[list[str], set[str]]:
-    """Returns the faults, and the registered names that are not used."""
+    """Returns faults in the package and the unused registered names."""
     faults: list[str] = []
     unused = set(EVENTS) | set(METRICS)
-    paths = [path for folder in FOLDERS for path in folder.glob("*.py")]
+    paths = [
+        path
+        for directory in SOURCE_DIRECTORIES
+        for path in directory.glob("*.py")
+    ]
     for path in sorted(paths):
         if path.name in REGISTRIES:
             continue
-        for use in uses(path):
-            known = EVENTS if use.call in LOG_CALLS else METRICS
-            found = {
+        for use in find_uses(path):
+            registered = EVENTS if use.call in LOG_CALLS else METRICS
+            matches = {
                 name
-                for name in known
+                for name in registered
                 if name == use.name
-                or (not use.whole and name.startswith(use.name))
+                or (not use.complete and name.startswith(use.name))
             }
-            unused -= found
-            counts = use.call in LOG_CALLS or use.receiver in METRIC_RECEIVERS
-            if not found and counts:
+            unused -= matches
+            must_be_registered = (
+                use.call in LOG_CALLS or use.receiver in METRIC_RECEIVERS
+            )
+            if not matches and must_be_registered:
                 faults.append(
                     f"{use.place} uses {use.name!r}, which is not registered"
                 )
@@ -105,7 +114,7 @@
         "Generated by `scripts/check_catalogues.py --write` from",
         "`knapweedarch/events.py`. Each line of a log is a JSON object with",
         "`time`, `level`, `event` (the number), `event_name`, `text` and",
-        "`fields` (what is known of the case).",
+        "`fields` (details of the occurrence).",
     ]
     for group, title in GROUPS.items():
         lines += ["", f"## {group}xx {title}", ""]
@@ -130,12 +139,12 @@
         "[OPERATORS.md](OPERATORS.md) for what to do about them.",
     ]
     for kind in MetricKind:
-        shown = [m for m in METRICS.values() if m.kind is kind]
-        if not shown:
+        kind_metrics = [m for m in METRICS.values() if m.kind is kind]
+        if not kind_metrics:
             continue
         lines += ["", f"## {kind.value.capitalize()}s", ""]
         lines += ["| Name | Meaning |", "|---|---|"]
-        lines += [f"| `{m.name}` | {m.text} |" for m in shown]
+        lines += [f"| `{m.name}` | {m.text} |" for m in kind_metrics]
     return "\n".join(lines) + "\n"
 
 
@@ -155,16 +164,14 @@
 
 
 def main() -> int:
-    """Checks or writes; returns the exit code."""
+    """Checks or writes the catalogues; returns the exit code."""
     if sys.argv[1:] == ["--write"]:
         for path, page in PAGES.items():
             path.write_text(page())
         return 0
     faults, unused = check_uses()
     faults += check_pages()
-    faults += [
-        f"{name} is registered but used nowhere" for name in sorted(unused)
-    ]
+    faults += [f"{name} is registered but unused" for name in sorted(unused)]
     print("\n".join(faults))
     return 1 if faults else 0
 
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -1,9 +1,9 @@
-"""A site of the users' platform on loopback, for tests without their bench.
+"""Simulates a site of the users' platform on loopback, without their bench.
 
-It starts the real processes as the platform does, with its settings files,
-and runs runners, an operator and callers in the test's event loop. Members,
-routers and runners have IP numbers of their own, so that ports are the same
-everywhere.
+Starts the actual member and proxy processes with the platform's settings files
+and runs the runners, the operator and the callers in the test's event loop.
+Members, routers and runners have separate IP addresses, so that port numbers
+are the same on every instance.
 """
 
 import contextlib
@@ -31,9 +31,9 @@
 KEY = "key-of-huts"
 MODEL = "guide"
 ZONES = ("dinsho", "sanetti", "rira")
-START_S = 20.0
-POLL_S = 0.02
-LIMIT_MS = 6000
+START_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.02
+REQUEST_TIMEOUT_MS = 6000
 
 SERVICES = [
     {
@@ -59,7 +59,7 @@
         "host": HOST,
         "pathPrefix": f"/{name}/",
         "routeType": kind,
-        "timeoutMs": LIMIT_MS,
+        "timeoutMs": REQUEST_TIMEOUT_MS,
         "goalMs": 600,
         "priority": 0,
         "service": service,
@@ -72,7 +72,7 @@
 
 
 def configuration(version: int, extra_route: str = "") -> dict:
-    """Builds a configuration; a later one may have a route more."""
+    """Builds a configuration, optionally with an additional route."""
     routes = [
         _route("chat", "streaming", "guide-models", 2),
         _route("booking", "non_idempotent", "desk", 1),
@@ -90,14 +90,14 @@
 
 @attrs.define
 class Process:
-    """A process of the system.
+    """A member or proxy process.
 
     Attributes:
         role: `member` or `proxy`.
-        name: Name of its machine.
-        host: Its IP number.
-        settings: Its settings file.
-        popen: The running process.
+        name: Name of its instance.
+        host: IP address of its instance.
+        settings: Path of its settings file.
+        popen: The process, once it has been started.
     """
 
     role: str
@@ -108,30 +108,33 @@
 
 
 class PlatformSite:
-    """Processes, runners, an operator and callers."""
+    """Runs processes and runners, and acts as operator and callers."""
 
     def __init__(self, group: anyio.abc.TaskGroup):
         self._group = group
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="knapweedarch-"))
         second, third = random.SystemRandom().sample(range(2, 250), 2)
         self._network = f"127.{second}.{third}"
-        self._link, self._control, self._front, self._ready = _free_ports(
-            f"{self._network}.1", 4
-        )
+        (
+            self._link_port,
+            self._control_port,
+            self._proxy_port,
+            self._ready_port,
+        ) = _free_ports(f"{self._network}.1", 4)
         self.processes: dict[str, Process] = {}
         self.runners: list[PlatformRunner] = []
-        self.client = httpx.AsyncClient(timeout=LIMIT_MS / 1000)
+        self.client = httpx.AsyncClient(timeout=REQUEST_TIMEOUT_MS / 1000)
         self._requests = 0
 
     def _add_process(self, role: str, number: int) -> Process:
-        place = number + (100 if role == "proxy" else 0)
-        host, name = f"{self._network}.{place}", f"{role}-{number}"
+        host_number = number + (100 if role == "proxy" else 0)
+        host, name = f"{self._network}.{host_number}", f"{role}-{number}"
         process = Process(role, name, host, self.folder / f"{name}.conf")
         self.processes[name] = process
         return process
 
-    def add(self, members: int, proxies: int) -> None:
-        """Starts members and proxies for the first time."""
+    def start_processes(self, members: int, proxies: int) -> None:
+        """Creates and starts members and proxies with bootstrap enabled."""
         for number in range(1, members + 1):
             self._add_process("member", number)
         for number in range(1, proxies + 1):
@@ -141,7 +144,7 @@
             self.start(process.name)
 
     def _write_settings(self, process: Process, bootstrap: bool) -> None:
-        seeds = [f"{self._network}.{i}:{self._control}" for i in (1, 2, 3)]
+        seeds = [f"{self._network}.{i}:{self._control_port}" for i in (1, 2, 3)]
         data = self.folder / f"data-{process.name}"
         data.mkdir(exist_ok=True)
         zone = ZONES[int(process.name.split("-")[1]) % len(ZONES)]
@@ -150,10 +153,10 @@
             "bindIp": process.host,
             "zone": zone,
             **{f"zones.{name}": "highlands" for name in ZONES},
-            "endpoints.front": f"{process.host}:{self._front}",
-            "endpoints.ready": f"{process.host}:{self._ready}",
-            "endpoints.control": f"{process.host}:{self._control}",
-            "portRange": f"{self._link},{self._link}",
+            "endpoints.front": f"{process.host}:{self._proxy_port}",
+            "endpoints.ready": f"{process.host}:{self._ready_port}",
+            "endpoints.control": f"{process.host}:{self._control_port}",
+            "portRange": f"{self._link_port},{self._link_port}",
             "seedNodes": ",".join(seeds),
             "bootstrap": str(bootstrap).lower(),
             "dataDir": str(data),
@@ -186,13 +189,13 @@
             )
 
     def kill(self, name: str) -> None:
-        """Ends a process at once."""
+        """Kills a process and waits for its exit."""
         process = self.processes[name]
         process.popen.kill()
         process.popen.wait()
 
     def restart_all(self) -> None:
-        """Kills every process, then starts each one on its old disk."""
+        """Kills every process, then restarts each with its data folder."""
         for name in self.processes:
             self.kill(name)
         for name, process in self.processes.items():
@@ -204,27 +207,27 @@
         self.processes[name].popen.send_signal(signal.SIGTERM)
 
     def close(self) -> None:
-        """Ends every process and removes the folder."""
+        """Kills the remaining processes and removes the folder."""
         for process in self.processes.values():
             if process.popen is not None and process.popen.poll() is None:
                 process.popen.kill()
                 process.popen.wait()
         shutil.rmtree(self.folder)
 
-    def controls(self) -> list[str]:
-        """Control addresses of the members."""
+    def control_addresses(self) -> list[str]:
+        """Returns the control addresses of the members."""
         return [
-            f"{p.host}:{self._control}"
+            f"{p.host}:{self._control_port}"
             for p in self.processes.values()
             if p.role == "member"
         ]
 
-    def front(self, name: str) -> str:
-        """Base URL at which a proxy takes callers."""
-        return f"http://{self.processes[name].host}:{self._front}"
+    def proxy_url(self, name: str) -> str:
+        """Returns the base URL of a proxy for callers."""
+        return f"http://{self.processes[name].host}:{self._proxy_port}"
 
     async def add_runner(self, service: str, model: str = "") -> None:
-        """Starts a runner; it announces itself."""
+        """Starts a runner, which registers itself by heartbeats."""
         number = len(self.runners) + 1
         runner = PlatformRunner(
             id=f"i-{number}",
@@ -232,16 +235,16 @@
             zone=ZONES[number % len(ZONES)],
             service=service,
             model=model,
-            controls=self.controls,
+            control_addresses=self.control_addresses,
         )
         self.runners.append(runner)
         await self._group.start(runner.run)
 
-    async def order(self, method: str, path: str, document=None) -> int:
-        """Makes an operator's call at any member until one answers it."""
-        until = time.monotonic() + START_S
-        while time.monotonic() < until:
-            address = random.choice(self.controls())
+    async def call_control(self, method: str, path: str, document=None) -> int:
+        """Sends an operator's request to random members until one responds."""
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline:
+            address = random.choice(self.control_addresses())
             with contextlib.suppress(httpx.HTTPError):
                 answer = await self.client.request(
                     method, f"http://{address}{path}", json=document
@@ -249,29 +252,33 @@
                 if answer.status_code < 500:
                     self.answer = answer
                     return answer.status_code
-            await anyio.sleep(POLL_S)
-        raise TimeoutError(f"no member answered {method} {path}")
+            await anyio.sleep(POLL_INTERVAL_S)
+        raise TimeoutError(f"no member responded to {method} {path}")
 
     async def is_ready(self, name: str) -> bool:
-        """Tells whether a proxy says that it is ready."""
-        url = f"http://{self.processes[name].host}:{self._ready}/api/ready"
+        """Returns whether the readiness check of a proxy passes."""
+        url = f"http://{self.processes[name].host}:{self._ready_port}/api/ready"
         try:
             return (await self.client.get(url)).status_code == 200
         except httpx.HTTPError:
             return False
 
-    async def wait(self, probe: Callable, limit_s: float = START_S) -> float:
-        """Waits until `await probe()` is true; returns how long it took.
+    async def wait(
+        self, probe: Callable, limit_s: float = START_TIMEOUT_S
+    ) -> float:
+        """Polls until `await probe()` is true; returns the seconds waited.
 
         Raises:
-            TimeoutError: It was not within the limit.
+            TimeoutError: The limit passed first.
         """
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         while not await probe():
-            if time.monotonic() - began_at > limit_s:
-                raise TimeoutError(f"not within {limit_s} s")
-            await anyio.sleep(POLL_S)
-        return time.monotonic() - began_at
+            if time.monotonic() - started_at > limit_s:
+                raise TimeoutError(
+                    f"the condition was not met within {limit_s} s"
+                )
+            await anyio.sleep(POLL_INTERVAL_S)
+        return time.monotonic() - started_at
 
     async def wait_ready(self) -> None:
         """Waits until every proxy is ready."""
@@ -279,16 +286,16 @@
             if process.role == "proxy":
                 await self.wait(lambda name=name: self.is_ready(name))
 
-    async def ask(
+    async def send_request(
         self, proxy: str, path: str, tokens: int = 0
     ) -> httpx.Response:
-        """Sends a caller's request; returns the whole answer."""
+        """Sends a caller's request; returns the complete response."""
         self._requests += 1
         headers = {
             "Host": HOST,
             "Authorization": f"Token {KEY}",
             "X-Knapweedarch-Request-Id": f"request-{self._requests}",
-            "X-Knapweedarch-Deadline-Ms": str(LIMIT_MS),
+            "X-Knapweedarch-Deadline-Ms": str(REQUEST_TIMEOUT_MS),
         }
         if tokens:
             parts = f"a1:2000,b{self._requests % 3}:3000,c{self._requests}:90"
@@ -296,7 +303,7 @@
             headers["X-Knapweedarch-Token-Count"] = f"5090,{tokens}"
             headers["X-Knapweedarch-Prefix-Hash"] = parts
         return await self.client.post(
-            self.front(proxy) + path, headers=headers, content=b"{}"
+            self.proxy_url(proxy) + path, headers=headers, content=b"{}"
         )
 
 
@@ -313,16 +320,16 @@
 async def open_site(
     members: int, proxies: int, runners: int, limit_s: float
 ) -> AsyncIterator[PlatformSite]:
-    """Opens a site with a configuration in force and every proxy ready."""
+    """Opens a site with a configuration applied and every proxy ready."""
     with anyio.fail_after(limit_s):
         async with anyio.create_task_group() as group:
             site = PlatformSite(group)
             try:
-                site.add(members, proxies)
+                site.start_processes(members, proxies)
                 for _ in range(runners):
                     await site.add_runner("guide-models", MODEL)
                 await site.add_runner("desk")
-                await site.order("PUT", "/api/config", configuration(1))
+                await site.call_control("PUT", "/api/config", configuration(1))
                 await site.wait_ready()
                 yield site
             finally:
