--- a/bench/control_slopes.py
+++ b/bench/control_slopes.py
@@ -61,18 +61,20 @@
     return pages * resource.getpagesize() / 1e6
 
 
-def row(*cells: object) -> None:
+def print_row(*cells: object) -> None:
     """Prints one row of the table."""
     print("| " + " | ".join(str(cell) for cell in cells) + " |", flush=True)
 
 
-async def _router(cluster: Deployment, number: int, stop_at: float) -> None:
+async def _renew_lease(
+    cluster: Deployment, number: int, stop_at: float
+) -> None:
     """Renews a lease as a router does, without serving anybody."""
     member = cluster.members[0]
-    news = anyio.Event()
+    message_received = anyio.Event()
 
     async def on_message(link: links.Link, message: object) -> None:
-        news.set()
+        message_received.set()
 
     async with anyio.create_task_group() as group:
         link = await links.connect(
@@ -95,54 +97,58 @@
             # A router tells at once that it has applied a change.
             if not changed:
                 with anyio.move_on_after(1 / RENEWALS_PER_S):
-                    await news.wait()
-                    news = anyio.Event()
+                    await message_received.wait()
+                    message_received = anyio.Event()
         group.cancel_scope.cancel()
 
 
-async def _renewals(cluster: Deployment, count: int) -> tuple[float, float]:
+async def _measure_renewals(
+    cluster: Deployment, count: int
+) -> tuple[float, float]:
     """Returns processor share and MB of the member under `count` routers."""
     pid = cluster.processes[cluster.members[0]["name"]].popen.pid
     stop_at = time.monotonic() + WINDOW_S + 3
-    share = 0.0
+    cpu_share = 0.0
     async with anyio.create_task_group() as group:
         for number in range(count):
-            group.start_soon(_router, cluster, number, stop_at)
+            group.start_soon(_renew_lease, cluster, number, stop_at)
         await anyio.sleep(2)
         before = cpu_s(pid)
         await anyio.sleep(WINDOW_S)
-        share = (cpu_s(pid) - before) / WINDOW_S
-    return share, resident_mb(pid)
+        cpu_share = (cpu_s(pid) - before) / WINDOW_S
+    return cpu_share, resident_mb(pid)
 
 
 def measure_leases() -> None:
     """Measures the leader's cost of router leases."""
     print("\n## Leases at the leader")
-    row("routers", "share of a core", "MB", "us per renewal over idle")
+    print_row("routers", "share of a core", "MB", "us per renewal over idle")
     with Deployment(members=1) as cluster:
         cluster.start_member("member-1")
         if cluster.tool("form").returncode:
             raise SystemExit("the group was not formed")
-        idle, _ = anyio.run(_renewals, cluster, 0)
-        row(0, f"{idle:.4f}", "-", "-")
+        idle, _ = anyio.run(_measure_renewals, cluster, 0)
+        print_row(0, f"{idle:.4f}", "-", "-")
         for count in ROUTER_COUNTS:
-            share, megabytes = anyio.run(_renewals, cluster, count)
-            per_renewal = (share - idle) / (count * RENEWALS_PER_S) * 1e6
-            row(
-                *(count, f"{share:.4f}"),
+            cpu_share, megabytes = anyio.run(_measure_renewals, cluster, count)
+            per_renewal = (cpu_share - idle) / (count * RENEWALS_PER_S) * 1e6
+            print_row(
+                *(count, f"{cpu_share:.4f}"),
                 *(f"{megabytes:.0f}", f"{per_renewal:.0f}"),
             )
 
 
-async def _change(cluster: Deployment, count: int) -> tuple[float, float]:
+async def _measure_rule_change(
+    cluster: Deployment, count: int
+) -> tuple[float, float]:
     """Returns seconds until a large rule file is in force, and CPU seconds."""
     address = control.MemberAddress(**cluster.members[0])
     pid = cluster.processes[address.name].popen.pid
     stop_at = time.monotonic() + 3 + CHANGE_WINDOW_S
-    taken = spent = 0.0
+    elapsed_s = cpu_used_s = 0.0
     async with anyio.create_task_group() as group:
         for number in range(count):
-            group.start_soon(_router, cluster, number, stop_at)
+            group.start_soon(_renew_lease, cluster, number, stop_at)
         await anyio.sleep(3)
         client = control.create_control_client(
             [address], CREDENTIAL.encode(), Clock()
@@ -153,28 +159,32 @@
             before, started = cpu_s(pid), time.monotonic()
             order = PutRules(f"change-{count}", version, text)
             await client.submit(order, 30.0)
-            taken = time.monotonic() - started
-            spent = cpu_s(pid) - before
-    return taken, spent
+            elapsed_s = time.monotonic() - started
+            cpu_used_s = cpu_s(pid) - before
+    return elapsed_s, cpu_used_s
 
 
 def measure_changes() -> None:
     """Measures how long a rule change takes to be in force everywhere."""
     print("\n## Rule change with 2,300 customers")
-    row("routers", "seconds to in force", "processor seconds at the leader")
+    print_row(
+        "routers", "seconds to in force", "processor seconds at the leader"
+    )
     with Deployment(members=1) as cluster:
         cluster.start_member("member-1")
         if cluster.tool("form").returncode:
             raise SystemExit("the group was not formed")
         for count in ROUTER_COUNTS:
-            taken, spent = anyio.run(_change, cluster, count)
-            row(count, f"{taken:.2f}", f"{spent:.2f}")
+            elapsed_s, cpu_used_s = anyio.run(
+                _measure_rule_change, cluster, count
+            )
+            print_row(count, f"{elapsed_s:.2f}", f"{cpu_used_s:.2f}")
 
 
 def measure_feeds() -> None:
     """Measures what an idle router spends on lease and feeds."""
     print("\n## Idle router")
-    row("runners followed", "share of a core", "MB")
+    print_row("runners followed", "share of a core", "MB")
     with Deployment(members=1) as cluster:
         cluster.start_member("member-1")
         if cluster.tool("form").returncode:
@@ -182,21 +192,23 @@
         cluster.start_router("router-1")
         cluster.wait_ready("router-1")
         pid = cluster.processes["router-1"].popen.pid
-        for wanted in FEED_COUNTS:
+        for runner_count in FEED_COUNTS:
             running = sum(n.startswith("runner") for n in cluster.processes)
-            for number in range(running, wanted):
+            for number in range(running, runner_count):
                 cluster.start_runner(f"runner-{number}", "guide")
             time.sleep(2)
             before = cpu_s(pid)
             time.sleep(WINDOW_S)
-            share = (cpu_s(pid) - before) / WINDOW_S
-            row(wanted, f"{share:.4f}", f"{resident_mb(pid):.0f}")
+            cpu_share = (cpu_s(pid) - before) / WINDOW_S
+            print_row(
+                runner_count, f"{cpu_share:.4f}", f"{resident_mb(pid):.0f}"
+            )
 
 
 def measure_feed_bytes() -> None:
     """Measures the bytes that an idle runner's feed sends."""
     print("\n## Bytes of an idle feed")
-    row("seconds", "bytes/s with chunk framing")
+    print_row("seconds", "bytes/s with chunk framing")
     with Deployment(members=1) as cluster:
         cluster.start_member("member-1")
         cluster.start_router("router-1")
@@ -210,7 +222,7 @@
                 if time.monotonic() > started + WINDOW_S:
                     break
         seconds = time.monotonic() - started
-        row(f"{seconds:.1f}", f"{total / seconds:.0f}")
+        print_row(f"{seconds:.1f}", f"{total / seconds:.0f}")
 
 
 def measure_messages() -> None:
@@ -219,13 +231,15 @@
     renew = control.Renew("router-17", "0123456789abcdef", 320, 9000, 10**6)
     grant = control.Grant(2.0, 10**6, 320, None, 9000, (), 350)
     sizes = [len(CONTROL.encode(m)) + 20 for m in (renew, grant)]
-    row("renewal", "grant", "bytes/s at 2 renewals/s and keep-alives")
+    print_row("renewal", "grant", "bytes/s at 2 renewals/s and keep-alives")
     keep_alive = 2 * 13 / links.KEEP_ALIVE_INTERVAL_S
-    row(*sizes, f"{sum(sizes) * RENEWALS_PER_S + keep_alive:.0f}")
+    print_row(*sizes, f"{sum(sizes) * RENEWALS_PER_S + keep_alive:.0f}")
     entries = tuple(EndpointEntry(_endpoint(n), n) for n in range(600))
-    full = control.Grant(2.0, 10**6, 320, None, 9000, entries, 350)
-    each = (len(CONTROL.encode(full)) - len(CONTROL.encode(grant))) / 600
-    print(f"{each:.0f} bytes for each endpoint in a grant")
+    full_grant = control.Grant(2.0, 10**6, 320, None, 9000, entries, 350)
+    bytes_per_endpoint = (
+        len(CONTROL.encode(full_grant)) - len(CONTROL.encode(grant))
+    ) / 600
+    print(f"{bytes_per_endpoint:.0f} bytes for each endpoint in a grant")
 
 
 def _endpoint(number: int) -> Endpoint:
@@ -255,13 +269,15 @@
 def measure_state() -> None:
     """Measures memory, command and snapshot cost of the control state."""
     print("\n## Control state")
-    row("records", "endpoints", "us per command", "bytes each", "snapshot ms")
+    print_row(
+        "records", "endpoints", "us per command", "bytes each", "snapshot ms"
+    )
     sizes = [(n, 0) for n in RECORD_COUNTS] + [(0, n) for n in ENDPOINT_COUNTS]
     for records, endpoints in sizes:
         started = time.process_time()
         _filled_state(records, endpoints)
         commands = records * 2 + endpoints
-        each_us = (time.process_time() - started) / commands * 1e6
+        command_us = (time.process_time() - started) / commands * 1e6
         tracemalloc.start()
         state = _filled_state(records, endpoints)
         size = tracemalloc.get_traced_memory()[0] / (records + endpoints)
@@ -269,8 +285,8 @@
         started = time.process_time()
         state.snapshot()
         snapshot_ms = (time.process_time() - started) * 1e3
-        row(
-            *(records, endpoints, f"{each_us:.0f}"),
+        print_row(
+            *(records, endpoints, f"{command_us:.0f}"),
             *(f"{size:.0f}", f"{snapshot_ms:.1f}"),
         )
 
@@ -289,7 +305,7 @@
 def measure_rules() -> None:
     """Measures parsing and size of a rule file."""
     print("\n## Rule file")
-    row("customers", "bytes", "parse ms", "command ms")
+    print_row("customers", "bytes", "parse ms", "command ms")
     for customers in CUSTOMER_COUNTS:
         text = rule_text(customers)
         started = time.process_time()
@@ -298,7 +314,7 @@
         started = time.process_time()
         ControlState().apply(COMMANDS.encode(PutRules("a", 0, text)))
         command_ms = (time.process_time() - started) * 1e3
-        row(customers, len(text), f"{parse_ms:.1f}", f"{command_ms:.2f}")
+        print_row(customers, len(text), f"{parse_ms:.1f}", f"{command_ms:.2f}")
 
 
 def main() -> int:
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -19,7 +19,9 @@
 # Traces per case, with consecutive seeds. One trace has too few requests for
 # a 99th percentile that two traces agree on.
 TRACES = 2
-PAGE = pathlib.Path(__file__).resolve().parent.parent / "docs/BENCHMARKS.md"
+BENCHMARKS_PAGE = (
+    pathlib.Path(__file__).resolve().parent.parent / "docs/BENCHMARKS.md"
+)
 
 # Scenarios in which each mechanism is switched off: those that it concerns.
 PLACEMENT_SCENARIOS = ("steady", "hot prefix shift")
@@ -32,15 +34,15 @@
 }
 
 
-def _variants() -> dict[str, variants.Variant]:
-    every = (*variants.COMPARED, *variants.WAYS, *variants.ABLATIONS)
-    return variants.named(every)
+def _variants_by_name() -> dict[str, variants.Variant]:
+    every = (*variants.COMPARED, *variants.ALTERNATIVES, *variants.ABLATIONS)
+    return variants.by_name(every)
 
 
-def run(case: scenarios.Case) -> scenarios.Figures:
+def run_named_case(case: scenarios.Case) -> scenarios.CaseResult:
     """Runs a case by its names; called in worker processes."""
     scenario = {s.name: s for s in scenarios.SCENARIOS}[case.scenario]
-    return scenarios.run_case(case, _variants()[case.variant], scenario)
+    return scenarios.run_case(case, _variants_by_name()[case.variant], scenario)
 
 
 def compared_cases(seed: int, traces: int) -> list[scenarios.Case]:
@@ -58,42 +60,44 @@
     return [
         scenarios.Case(deployment, scenario, variant.name, seed, traces)
         for deployment in workloads.DEPLOYMENTS
-        for variant in (*variants.WAYS, *variants.ABLATIONS)
+        for variant in (*variants.ALTERNATIVES, *variants.ABLATIONS)
         for scenario in ABLATION_SCENARIOS.get(
             variant.name, PLACEMENT_SCENARIOS
         )
     ]
 
 
-def run_all(cases: Sequence[scenarios.Case]) -> list[scenarios.Figures]:
+def run_cases(cases: Sequence[scenarios.Case]) -> list[scenarios.CaseResult]:
     """Runs the cases in a few processes, in a fixed order of results."""
     with concurrent.futures.ProcessPoolExecutor(PROCESSES) as pool:
-        return list(pool.map(run, cases))
+        return list(pool.map(run_named_case, cases))
 
 
 def run_ablations(seed: int, traces: int) -> int:
     """Runs the ablations beside the whole; returns the exit code."""
     cases = ablation_cases(seed, traces)
     pairs = dict.fromkeys((c.deployment, c.scenario) for c in cases)
-    whole = [
-        scenarios.Case(*pair, variants.OURS.name, seed, traces)
+    complete = [
+        scenarios.Case(*pair, variants.PRODUCTION.name, seed, traces)
         for pair in pairs
     ]
-    figures = run_all([*whole, *cases])
-    text = report.ablations(figures[: len(whole)], figures[len(whole) :])
+    results = run_cases([*complete, *cases])
+    text = report.ablation_table(
+        results[: len(complete)], results[len(complete) :]
+    )
     print(text)
-    report.write_section(PAGE, "ablations", text)
+    report.write_section(BENCHMARKS_PAGE, "ablations", text)
     return 0
 
 
 def quick(seed: int) -> int:
     """Runs one case of each deployment twice; returns the exit code."""
     cases = [
-        scenarios.Case(name, "steady", variants.OURS.name, seed)
+        scenarios.Case(name, "steady", variants.PRODUCTION.name, seed)
         for name in workloads.DEPLOYMENTS
     ]
-    first, second = run_all(cases), run_all(cases)
-    print(report.comparison(first))
+    first, second = run_cases(cases), run_cases(cases)
+    print(report.comparison_tables(first))
     same = first == second
     print("two runs of one seed agree" if same else "two runs differ")
     return 0 if same else 1
@@ -112,11 +116,15 @@
         return quick(options.seed)
     if options.only_ablations:
         return run_ablations(options.seed, options.traces)
-    compared = run_all(compared_cases(options.seed, options.traces))
-    text = report.targets(compared) + "\n" + report.comparison(compared)
+    compared = run_cases(compared_cases(options.seed, options.traces))
+    text = (
+        report.target_table(compared)
+        + "\n"
+        + report.comparison_tables(compared)
+    )
     print(text, flush=True)
-    report.plot(compared, PAGE.parent)
-    report.write_section(PAGE, "decisions", text)
+    report.plot(compared, BENCHMARKS_PAGE.parent)
+    report.write_section(BENCHMARKS_PAGE, "decisions", text)
     if options.no_ablations:
         return 0
     return run_ablations(options.seed, options.traces)
--- a/bench/log_bench.py
+++ b/bench/log_bench.py
@@ -34,7 +34,7 @@
 )
 from knapweedarch.state import COMMANDS, ControlState, PutRules, Reserve
 
-NAMES = ("a", "b", "c")
+MEMBER_NAMES = ("a", "b", "c")
 UPDATE_BYTES = 200
 CHANGES_PER_SNAPSHOT = 1000
 RULE_FILE_BYTES = 2048
@@ -57,7 +57,7 @@
             name: open_journal(
                 f"{folder}/{name}", files_class(f"{folder}/{name}")
             )
-            for name in NAMES
+            for name in MEMBER_NAMES
         }
         members = tuple(
             Member(name, journal.identity, "127.0.0.1", 1, True)
@@ -92,7 +92,7 @@
 
     def exchange(self) -> list[Entry]:
         """Passes messages until all is quiet; returns what was committed."""
-        committed, names = [], list(NAMES)
+        committed, names = [], list(MEMBER_NAMES)
         while names:
             outputs = zip(names, self.pool.map(self._save, names), strict=True)
             inbox = []
@@ -120,7 +120,7 @@
 
 
 @attrs.frozen
-class Load:
+class LoadResult:
     """Result of a run with clients that each wait for their update."""
 
     rate: float
@@ -131,7 +131,7 @@
 
 def run_load(
     group: Group, clients: int, updates: int, batching: bool, size: int
-) -> Load:
+) -> LoadResult:
     """Lets each of `clients` propose again once its update is committed."""
     begin = time.perf_counter()
     waiting = deque([begin] * clients)
@@ -148,7 +148,7 @@
             waiting.append(done)
     elapsed = time.perf_counter() - begin
     latencies.sort()
-    return Load(
+    return LoadResult(
         len(latencies) / elapsed,
         statistics.median(latencies) * 1e3,
         latencies[int(len(latencies) * 0.99)] * 1e3,
@@ -162,8 +162,8 @@
     print("batching  clients  updates/s  median ms  p99 ms  syncs/update")
     for batching in (False, True):
         for clients in (1, 16, 64, 256):
-            with tempfile.TemporaryDirectory(dir=folder) as place:
-                group = Group(place)
+            with tempfile.TemporaryDirectory(dir=folder) as directory:
+                group = Group(directory)
                 rounds = 2 if quick else 10
                 updates = max(rounds * clients, 100 if quick else 500)
                 if batching:
@@ -177,13 +177,13 @@
             )
 
 
-def bench_processor(folder: str, quick: bool) -> None:
+def bench_cpu_time(folder: str, quick: bool) -> None:
     """Prints processor time per committed entry, all three members."""
     print("\nprocessor time of three members together, no syncs, batches of 64")
     print("entry bytes  microseconds/entry  MB/s")
     for size in (100, 4096, 65536):
-        with tempfile.TemporaryDirectory(dir=folder) as place:
-            group = Group(place, UnsyncedFiles)
+        with tempfile.TemporaryDirectory(dir=folder) as directory:
+            group = Group(directory, UnsyncedFiles)
             updates = 640 if quick or size > 10_000 else 6400
             begin = time.process_time()
             run_load(group, 64, updates, True, size)
@@ -198,8 +198,8 @@
 def bench_idle(folder: str, quick: bool) -> None:
     """Prints processor time and traffic of members without any changes."""
     seconds = 10 if quick else 60
-    with tempfile.TemporaryDirectory(dir=folder) as place:
-        group = Group(place, UnsyncedFiles)
+    with tempfile.TemporaryDirectory(dir=folder) as directory:
+        group = Group(directory, UnsyncedFiles)
         group.message_bytes = 0
         begin = time.process_time()
         for _ in range(seconds * 20):
@@ -216,26 +216,28 @@
     )
 
 
-def flap(replica_class: type[Replica], seed: int) -> tuple[int, float]:
+def isolate_repeatedly(
+    replica_class: type[Replica], seed: int
+) -> tuple[int, float]:
     """Cuts one follower off 15 times in 60 s of virtual time.
 
     Returns:
         Changes of the leader, and the share of time without a leader lease.
     """
-    virtual = VirtualGroup(seed=seed, replica_class=replica_class)
-    _, follower, _ = virtual.elected()
-    before, steps, unled = virtual.elections, 0, 0
-    for cut_off in (True, False) * 15:
-        if cut_off:
-            virtual.isolate(follower)
+    group = VirtualGroup(seed=seed, replica_class=replica_class)
+    _, follower, _ = group.wait_for_leader()
+    before, steps, steps_without_lease = group.elections, 0, 0
+    for isolated in (True, False) * 15:
+        if isolated:
+            group.isolate(follower)
         else:
-            virtual.heal()
-        end = virtual.now + (3.0 if cut_off else 1.0)
-        while virtual.now < end:
-            virtual.step()
+            group.heal()
+        end = group.now + (3.0 if isolated else 1.0)
+        while group.now < end:
+            group.step()
             steps += 1
-            unled += virtual.lease_holder() is None
-    return virtual.elections - before, unled / steps
+            steps_without_lease += group.lease_holder() is None
+    return group.elections - before, steps_without_lease / steps
 
 
 def bench_flapping(quick: bool) -> None:
@@ -244,7 +246,7 @@
     print("pre-vote  elections (mean, max)  time without leader lease")
     seeds = range(3 if quick else 20)
     for replica_class in (WithoutPreVote, Replica):
-        runs = [flap(replica_class, seed) for seed in seeds]
+        runs = [isolate_repeatedly(replica_class, seed) for seed in seeds]
         elections = [r[0] for r in runs]
         name = "without" if replica_class is WithoutPreVote else "with"
         print(
@@ -258,11 +260,11 @@
     seeds = range(50 if quick else 1000)
     times = []
     for seed in seeds:
-        virtual = VirtualGroup(seed=seed)
-        virtual.step_s = 0.005
-        virtual.crash(virtual.elected()[0])
+        group = VirtualGroup(seed=seed)
+        group.step_s = 0.005
+        group.crash(group.wait_for_leader()[0])
         # The lease of a crashed member is void at once.
-        times.append(virtual.run_until(virtual.lease_holder, 10.0))
+        times.append(group.run_until(group.lease_holder, 10.0))
     times.sort()
     print(f"\ncrash of the leader, {len(times)} seeds, until the next lease")
     print(
@@ -327,7 +329,7 @@
     return spent
 
 
-def bench_start(folder: str, quick: bool) -> None:
+def bench_start_up(folder: str, quick: bool) -> None:
     """Prints start-up time against the number of changes."""
     print(f"\nstart of a member, snapshot each {CHANGES_PER_SNAPSHOT} changes")
     print(
@@ -337,14 +339,14 @@
         for changes in (100, 1000) if quick else (100, 1000, 10_000):
             row = f"{changes:6} {build.__name__:12}"
             for snapshots in (False, True):
-                with tempfile.TemporaryDirectory(dir=folder) as place:
-                    fill_journal(place, changes, snapshots, build)
+                with tempfile.TemporaryDirectory(dir=folder) as directory:
+                    fill_journal(directory, changes, snapshots, build)
                     size = sum(
-                        (JournalFiles(place).folder / n).stat().st_size
-                        for n in JournalFiles(place).names()
+                        (JournalFiles(directory).folder / n).stat().st_size
+                        for n in JournalFiles(directory).names()
                     )
                     spent = statistics.median(
-                        start_member(place) for _ in range(5)
+                        start_member(directory) for _ in range(5)
                     )
                 row += f"{spent * 1e3:15.1f}{size / 1024:9.0f}"
             print(row)
@@ -358,11 +360,11 @@
         quick: Whether to take fewer samples, to try the script.
     """
     bench_updates(folder or None, quick)
-    bench_processor(folder or None, quick)
+    bench_cpu_time(folder or None, quick)
     bench_idle(folder or None, quick)
     bench_flapping(quick)
     bench_failover(quick)
-    bench_start(folder or None, quick)
+    bench_start_up(folder or None, quick)
 
 
 if __name__ == "__main__":
--- a/bench/relay_bench.py
+++ b/bench/relay_bench.py
@@ -32,7 +32,7 @@
 WARM_UP_STREAMS = 20
 
 
-def start(*arguments: str) -> tuple[subprocess.Popen, int]:
+def start_module(*arguments: str) -> tuple[subprocess.Popen, int]:
     """Starts a Python module; returns the process and its port."""
     process = subprocess.Popen(
         [sys.executable, "-m", *arguments],
@@ -62,8 +62,13 @@
         }
     ).encode()
     fields = {"host": "bench", "content-length": str(len(body)), **headers}
-    head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
-    return f"POST /v1/chat/completions HTTP/1.1\r\n{head}\r\n".encode() + body
+    header_lines = "".join(
+        f"{name}: {value}\r\n" for name, value in fields.items()
+    )
+    return (
+        f"POST /v1/chat/completions HTTP/1.1\r\n{header_lines}\r\n".encode()
+        + body
+    )
 
 
 async def stream_once(
@@ -75,10 +80,10 @@
     first_s, events, tail = 0.0, 0, b""
     while not tail.endswith(b"\r\n0\r\n\r\n"):
         data = await connection.receive(65536)
-        found = data.count(b'"offset"')
-        if found and not events:
+        event_count = data.count(b'"offset"')
+        if event_count and not events:
             first_s = time.perf_counter() - started
-        events += found
+        events += event_count
         tail = (tail + data)[-16:]
     return first_s, events
 
@@ -188,26 +193,26 @@
         for number in range(runners + 1):
             # The last runner answers at once and serves the latency figures.
             pace = token_ms if number < runners else 0.0
-            process, port = start(
+            process, port = start_module(
                 *("standins.runner", "--id", f"runner-{number}"),
                 *("--model", "guide", "--credential", CREDENTIAL),
                 *("--token-ms", str(pace), "--slots", "1000"),
             )
             processes.append(process)
             ports.append(port)
-        fast, fast_port = start(
+        fast_gateway, fast_port = start_module(
             "bench.relay_bench", "gateway", "--runners", str(ports[-1])
         )
-        processes.append(fast)
-        paced, paced_port = start(
+        processes.append(fast_gateway)
+        paced_gateway, paced_port = start_module(
             *("bench.relay_bench", "gateway"),
             *("--runners", ",".join(map(str, ports[:-1]))),
             *(("--profile", profile) if profile else ()),
         )
-        processes.append(paced)
+        processes.append(paced_gateway)
         if latency_requests:
             print_latency(ports[-1], fast_port, latency_requests)
-        print_cpu(paced, paced_port, streams, tokens, rounds)
+        print_cpu(paced_gateway, paced_port, streams, tokens, rounds)
     finally:
         for process in processes:
             process.terminate()
@@ -239,11 +244,12 @@
     )
     through = anyio.run(measure_latency, gateway_port, AUTHORIZATION, count)
     for percentile in (50, 99):
-        low = direct.get_value_at_percentile(percentile)
-        high = through.get_value_at_percentile(percentile)
+        direct_us = direct.get_value_at_percentile(percentile)
+        gateway_us = through.get_value_at_percentile(percentile)
         print(
-            f"first event p{percentile}: direct {low} us, "
-            f"through the gateway {high} us, added {high - low} us"
+            f"first event p{percentile}: direct {direct_us} us, "
+            f"through the gateway {gateway_us} us, "
+            f"added {gateway_us - direct_us} us"
         )
 
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -17,85 +17,95 @@
 HUTS_GUEST_RATIO = 1.2
 OVERLOAD_GUEST_RATIO = 1.5
 
-P99 = 2
-OURS = variants.OURS.name
+P99_INDEX = 2
+PRODUCTION = variants.PRODUCTION.name
 REFERENCES = tuple(v.name for v in variants.REFERENCES)
 BASELINES = tuple(v.name for v in variants.BASELINES)
 
-Table = dict[tuple[str, str, str], scenarios.Figures]
+Table = dict[tuple[str, str, str], scenarios.CaseResult]
 
 
-def _table(figures: Sequence[scenarios.Figures]) -> Table:
+def _table(results: Sequence[scenarios.CaseResult]) -> Table:
     return {
-        (f.case.deployment, f.case.scenario, f.case.variant): f for f in figures
+        (f.case.deployment, f.case.scenario, f.case.variant): f for f in results
     }
 
 
-def _guest_p99(figures: scenarios.Figures) -> float:
-    return figures.quantiles["guest"][P99]
+def _guest_p99(results: scenarios.CaseResult) -> float:
+    return results.quantiles["guest"][P99_INDEX]
 
 
-def rows_of(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
+def markdown_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
     """A Markdown table."""
-    lines = ["| " + " | ".join(head) + " |", "|" + " --- |" * len(head)]
+    lines = ["| " + " | ".join(header) + " |", "|" + " --- |" * len(header)]
     lines += ["| " + " | ".join(row) + " |" for row in rows]
     return "\n".join(lines) + "\n"
 
 
-def _verdict(ok: bool) -> str:
+def _target_status(ok: bool) -> str:
     return "met" if ok else "MISSED"
 
 
-def targets(figures: Sequence[scenarios.Figures]) -> str:
+def target_table(results: Sequence[scenarios.CaseResult]) -> str:
     """Each target beside its result."""
-    table = _table(figures)
-    names = list(dict.fromkeys(f.case.scenario for f in figures))
+    table = _table(results)
+    names = list(dict.fromkeys(f.case.scenario for f in results))
     rows = []
     for name in names:
         rows += _bindery_targets(table, name)
         rows += _huts_targets(table, name)
     rows += _overload_targets(table)
-    head = ("deployment", "scenario", "target", "bound", "measured", "")
-    return "### Targets\n\n" + rows_of(head, rows)
+    header = ("deployment", "scenario", "target", "bound", "measured", "")
+    return "### Targets\n\n" + markdown_table(header, rows)
 
 
 def _bindery_targets(table: Table, name: str) -> list[list[str]]:
-    ours = table["bindery", name, OURS]
-    waste = min(table["bindery", name, r].wasted_tokens for r in REFERENCES)
-    best = max(table["bindery", name, b].hit_rate for b in BASELINES)
-    ratio = ours.wasted_tokens / max(1, waste)
-    hit = ours.hit_rate
+    production = table["bindery", name, PRODUCTION]
+    reference_waste = min(
+        table["bindery", name, r].wasted_tokens for r in REFERENCES
+    )
+    best_baseline = max(table["bindery", name, b].hit_rate for b in BASELINES)
+    ratio = production.wasted_tokens / max(1, reference_waste)
+    hit = production.hit_rate
     return [
         [
             *("bindery", name, "hit rate", f">= {BINDERY_HIT_RATE:.3f}"),
-            *(f"{hit:.4f}", _verdict(hit >= BINDERY_HIT_RATE)),
+            *(f"{hit:.4f}", _target_status(hit >= BINDERY_HIT_RATE)),
         ],
         [
             *("bindery", name, "waste / reference"),
             *(f"<= {BINDERY_WASTE_RATIO}", f"{ratio:.2f}"),
-            _verdict(ratio <= BINDERY_WASTE_RATIO),
+            _target_status(ratio <= BINDERY_WASTE_RATIO),
         ],
         [
             *("bindery", name, "hit rate, best baseline"),
-            *(f"> {best:.4f}", f"{hit:.4f}", _verdict(hit > best)),
+            *(
+                f"> {best_baseline:.4f}",
+                f"{hit:.4f}",
+                _target_status(hit > best_baseline),
+            ),
         ],
     ]
 
 
 def _huts_targets(table: Table, name: str) -> list[list[str]]:
-    ours = _guest_p99(table["huts", name, OURS])
+    production = _guest_p99(table["huts", name, PRODUCTION])
     reference = min(_guest_p99(table["huts", name, r]) for r in REFERENCES)
-    best = min(_guest_p99(table["huts", name, b]) for b in BASELINES)
-    ratio = ours / reference
+    best_baseline = min(_guest_p99(table["huts", name, b]) for b in BASELINES)
+    ratio = production / reference
     return [
         [
             *("huts", name, "guest p99 / reference"),
             *(f"<= {HUTS_GUEST_RATIO}", f"{ratio:.2f}"),
-            _verdict(ratio <= HUTS_GUEST_RATIO),
+            _target_status(ratio <= HUTS_GUEST_RATIO),
         ],
         [
             *("huts", name, "guest p99 s, best baseline"),
-            *(f"< {best:.3f}", f"{ours:.3f}", _verdict(ours < best)),
+            *(
+                f"< {best_baseline:.3f}",
+                f"{production:.3f}",
+                _target_status(production < best_baseline),
+            ),
         ],
     ]
 
@@ -103,12 +113,12 @@
 def _overload_targets(table: Table) -> list[list[str]]:
     rows = []
     for deployment in ("huts", "bindery"):
-        steady = table.get((deployment, "steady", OURS))
-        loaded = table.get((deployment, "overload 1.3", OURS))
+        steady = table.get((deployment, "steady", PRODUCTION))
+        loaded = table.get((deployment, "overload 1.3", PRODUCTION))
         if steady is None or loaded is None:
             continue
         ratio = _guest_p99(loaded) / _guest_p99(steady)
-        others = min(
+        least_answered = min(
             loaded.answered[name]
             for name in ("interactive", "batch")
             if name in loaded.answered
@@ -117,28 +127,32 @@
             [
                 *(deployment, "overload 1.3", "guest p99 / steady"),
                 *(f"<= {OVERLOAD_GUEST_RATIO}", f"{ratio:.2f}"),
-                _verdict(ratio <= OVERLOAD_GUEST_RATIO),
+                _target_status(ratio <= OVERLOAD_GUEST_RATIO),
             ]
         )
         rows.append(
             [
                 *(deployment, "overload 1.3", "least answered class"),
-                *("> 0", f"{others:.3f}", _verdict(others > 0)),
+                *(
+                    "> 0",
+                    f"{least_answered:.3f}",
+                    _target_status(least_answered > 0),
+                ),
             ]
         )
     return rows
 
 
-def comparison(figures: Sequence[scenarios.Figures]) -> str:
+def comparison_tables(results: Sequence[scenarios.CaseResult]) -> str:
     """All measures of all variants."""
     parts = []
     for deployment in ("huts", "bindery"):
         rows = [
             _comparison_row(f)
-            for f in figures
+            for f in results
             if f.case.deployment == deployment
         ]
-        head = (
+        header = (
             *("scenario", "variant", "hit", "wasted Mtok", "needed Mtok"),
             *("availability", "guest", "interactive", "batch"),
             *("refused or late", "retries", "resubmits", "recovery s"),
@@ -146,12 +160,12 @@
         parts.append(
             f"### {deployment.capitalize()}\n\nClass columns: p50/p95/p99/"
             "p99.9 of the time to the first token in seconds.\n\n"
-            + rows_of(head, rows)
+            + markdown_table(header, rows)
         )
     return "\n".join(parts)
 
 
-def _comparison_row(f: scenarios.Figures) -> list[str]:
+def _comparison_row(f: scenarios.CaseResult) -> list[str]:
     classes = [
         "/".join(f"{q:.2f}" for q in f.quantiles[name])
         if name in f.quantiles
@@ -173,36 +187,36 @@
     ]
 
 
-def ablations(
-    compared: Sequence[scenarios.Figures],
-    ablated: Sequence[scenarios.Figures],
+def ablation_table(
+    compared: Sequence[scenarios.CaseResult],
+    ablated: Sequence[scenarios.CaseResult],
 ) -> str:
     """Each mechanism off, beside the whole."""
-    ours = {
+    production = {
         (f.case.deployment, f.case.scenario): f
         for f in compared
-        if f.case.variant == OURS
+        if f.case.variant == PRODUCTION
     }
     keys = dict.fromkeys((f.case.deployment, f.case.scenario) for f in ablated)
     rows = []
     for deployment, scenario in keys:
-        group = [ours[deployment, scenario]] + [
+        group = [production[deployment, scenario]] + [
             f
             for f in ablated
             if (f.case.deployment, f.case.scenario) == (deployment, scenario)
         ]
         rows += [_ablation_row(f) for f in group]
-    head = (
+    header = (
         *("deployment", "scenario", "variant", "hit", "wasted Mtok"),
         *("guest p99 s", "interactive p99 s", "batch p99 s"),
         *("refused or late", "retries"),
     )
-    return "### Ways and ablations\n\n" + rows_of(head, rows)
+    return "### Ways and ablations\n\n" + markdown_table(header, rows)
 
 
-def _ablation_row(f: scenarios.Figures) -> list[str]:
+def _ablation_row(f: scenarios.CaseResult) -> list[str]:
     classes = [
-        f"{f.quantiles[name][P99]:.2f}" if name in f.quantiles else "-"
+        f"{f.quantiles[name][P99_INDEX]:.2f}" if name in f.quantiles else "-"
         for name in ("guest", "interactive", "batch")
     ]
     return [
@@ -213,22 +227,22 @@
     ]
 
 
-def plot(figures: Sequence[scenarios.Figures], folder: pathlib.Path) -> None:
+def plot(results: Sequence[scenarios.CaseResult], folder: pathlib.Path) -> None:
     """Draws the first measure of each deployment."""
-    table = _table(figures)
-    names = list(dict.fromkeys(f.case.scenario for f in figures))
-    shown = list(dict.fromkeys(f.case.variant for f in figures))
+    table = _table(results)
+    names = list(dict.fromkeys(f.case.scenario for f in results))
+    variant_names = list(dict.fromkeys(f.case.variant for f in results))
     measures = (
         ("huts", "guest p99 time to first token, s", _guest_p99),
         ("bindery", "prefix hit rate", lambda f: f.hit_rate),
     )
     for deployment, label, measure in measures:
         figure, axes = plt.subplots(figsize=(11, 4))
-        width = 0.8 / len(shown)
-        for i, variant in enumerate(shown):
+        width = 0.8 / len(variant_names)
+        for i, variant in enumerate(variant_names):
             values = [measure(table[deployment, n, variant]) for n in names]
-            spots = [x + i * width for x in range(len(names))]
-            axes.bar(spots, values, width, label=variant)
+            positions = [x + i * width for x in range(len(names))]
+            axes.bar(positions, values, width, label=variant)
         axes.set_xticks([x + 0.4 for x in range(len(names))], names)
         axes.tick_params(axis="x", labelsize=7)
         axes.set_ylabel(label)
@@ -246,6 +260,6 @@
     old = page.read_text() if page.exists() else ""
     if begin not in old:
         old += f"\n{begin}{end}"
-    head, rest = old.split(begin, 1)
-    tail = rest.split(end, 1)[1]
-    page.write_text(f"{head}{begin}\n{text}\n{end}{tail}")
+    before, rest = old.split(begin, 1)
+    after = rest.split(end, 1)[1]
+    page.write_text(f"{before}{begin}\n{text}\n{end}{after}")
--- a/bench/runners.py
+++ b/bench/runners.py
@@ -25,7 +25,7 @@
 
     now: float
 
-    def after(
+    def call_later(
         self, delay_s: float, action: Callable[..., None], *args: object
     ) -> None:
         """Runs an action after a delay in seconds."""
@@ -51,7 +51,7 @@
     cached: int = 0
     position: int = 0
     cancelled: bool = False
-    placed: bool = False
+    in_batch: bool = False
 
     @property
     def remaining(self) -> int:
@@ -99,7 +99,7 @@
         self.cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
-        self.events = 0
+        self.event_count = 0
         self.computed_tokens = 0
         self.jobs: set[Job] = set()
         self.acknowledged: dict[int, int] = {}
@@ -107,8 +107,8 @@
         self._observer = observer
         self._queue: list[tuple[int, int, Job]] = []
         self._prefill: list[tuple[int, int, Job]] = []
-        self._placed = 0
-        self._busy = False
+        self._batch_size = 0
+        self._prefilling = False
         self._sequence = 0
 
     def accept(self, job: Job) -> None:
@@ -118,8 +118,8 @@
         self.acknowledged[job.router] = max(
             number, self.acknowledged.get(job.router, 0)
         )
-        heapq.heappush(self._queue, self._key(job))
-        self._pump()
+        heapq.heappush(self._queue, self._queue_key(job))
+        self._schedule_jobs()
         self._observer.load_changed(self)
 
     def cancel(self, job: Job) -> None:
@@ -127,7 +127,7 @@
         if job in self.jobs:
             job.cancelled = True
             self._release(job)
-            self._pump()
+            self._schedule_jobs()
 
     def crash(self) -> list[Job]:
         """Loses all jobs and the cache; returns the jobs."""
@@ -138,13 +138,13 @@
         self.cache.clear()
         self.acknowledged.clear()
         self._queue, self._prefill = [], []
-        self._placed, self._busy, self.alive = 0, False, False
+        self._batch_size, self._prefilling, self.alive = 0, False, False
         return jobs
 
     def start(self, incarnation: str) -> None:
         """Starts empty after a crash."""
         self.endpoint = attrs.evolve(self.endpoint, incarnation=incarnation)
-        self.alive, self.events = True, 0
+        self.alive, self.event_count = True, 0
 
     def report(self, router: int) -> models.LoadReport:
         """Reports the load to one router."""
@@ -152,7 +152,7 @@
         return models.LoadReport(
             self.endpoint.id,
             self.endpoint.incarnation,
-            self._placed,
+            self._batch_size,
             len(waiting),
             self._queued_tokens(models.Priority.BATCH),
             self.acknowledged.get(router, 0),
@@ -172,63 +172,65 @@
         missing = sum(block not in self.cache for block in blocks)
         return tails + missing * prefixes.BLOCK_TOKENS
 
-    def _key(self, job: Job) -> tuple[int, int, Job]:
+    def _queue_key(self, job: Job) -> tuple[int, int, Job]:
         self._sequence += 1
         return (int(job.attempt.ticket.priority), self._sequence, job)
 
-    def _pump(self) -> None:
-        while self._queue and self._placed < self.endpoint.slots:
+    def _schedule_jobs(self) -> None:
+        while self._queue and self._batch_size < self.endpoint.slots:
             _, _, job = heapq.heappop(self._queue)
             if not job.cancelled:
-                job.placed = True
-                self._placed += 1
-                heapq.heappush(self._prefill, self._key(job))
-        while not self._busy and self._prefill:
+                job.in_batch = True
+                self._batch_size += 1
+                heapq.heappush(self._prefill, self._queue_key(job))
+        while not self._prefilling and self._prefill:
             key = heapq.heappop(self._prefill)
             if not key[2].cancelled:
-                self._compute(key)
+                self._start_chunk(key)
 
-    def _compute(self, key: tuple[int, int, Job]) -> None:
+    def _start_chunk(self, key: tuple[int, int, Job]) -> None:
         job = key[2]
-        self._look_up(job)
+        self._skip_cached_blocks(job)
         tokens = min(CHUNK_TOKENS, job.remaining)
-        slowdown = 1 + BATCH_SLOWDOWN * self._placed / self.endpoint.slots
-        span = tokens * slowdown / (PREFILL_TOKENS_S * self.speed)
-        self._busy = True
+        slowdown = 1 + BATCH_SLOWDOWN * self._batch_size / self.endpoint.slots
+        duration_s = tokens * slowdown / (PREFILL_TOKENS_S * self.speed)
+        self._prefilling = True
         incarnation = self.endpoint.incarnation
-        self._clock.after(span, self._computed, key, tokens, incarnation)
+        self._clock.call_later(
+            duration_s, self._finish_chunk, key, tokens, incarnation
+        )
 
-    def _look_up(self, job: Job) -> None:
+    def _skip_cached_blocks(self, job: Job) -> None:
         """Skips blocks that are in the cache by now."""
         blocks = job.attempt.ticket.blocks
-        start = at = job.position // prefixes.BLOCK_TOKENS
-        while at < len(blocks) and blocks[at] in self.cache:
-            at += 1
+        start = block_index = job.position // prefixes.BLOCK_TOKENS
+        while block_index < len(blocks) and blocks[block_index] in self.cache:
+            block_index += 1
         # Touched from the end, so that leaves are evicted before roots.
-        for block in reversed(blocks[:at]):
+        for block in reversed(blocks[:block_index]):
             if block in self.cache:
                 self.cache.move_to_end(block)
-        job.cached += at - start
-        job.position = max(job.position, at * prefixes.BLOCK_TOKENS)
+        job.cached += block_index - start
+        job.position = max(job.position, block_index * prefixes.BLOCK_TOKENS)
 
-    def _computed(
+    def _finish_chunk(
         self, key: tuple[int, int, Job], tokens: int, incarnation: str
     ) -> None:
         if not self.alive or incarnation != self.endpoint.incarnation:
             return
         job = key[2]
-        self._busy = False
+        self._prefilling = False
         self.computed_tokens += tokens
         job.position += tokens
-        self._store(job)
+        self._store_blocks(job)
         if job.remaining <= 0 and not job.cancelled:
             self._decode(job)
         elif not job.cancelled:
-            heapq.heappush(self._prefill, self._key(job))
-        self._pump()
+            heapq.heappush(self._prefill, self._queue_key(job))
+        self._schedule_jobs()
         self._observer.load_changed(self)
 
-    def _store(self, job: Job) -> None:
+    def _store_blocks(self, job: Job) -> None:
         """Stores the blocks computed so far and evicts the oldest ones."""
         full = job.position // prefixes.BLOCK_TOKENS
         chain = job.attempt.ticket.blocks[:full]
@@ -246,12 +248,12 @@
             notify(self, models.CacheChange.EVICTED, tuple(evicted))
 
     def _decode(self, job: Job) -> None:
-        slowdown = 1 + BATCH_SLOWDOWN * self._placed / self.endpoint.slots
-        step = STEP_S * slowdown / self.speed
-        self._clock.after(step, self._first, job)
-        self._clock.after(step * job.out_tokens, self._finish, job)
+        slowdown = 1 + BATCH_SLOWDOWN * self._batch_size / self.endpoint.slots
+        step_s = STEP_S * slowdown / self.speed
+        self._clock.call_later(step_s, self._send_first_token, job)
+        self._clock.call_later(step_s * job.out_tokens, self._finish, job)
 
-    def _first(self, job: Job) -> None:
+    def _send_first_token(self, job: Job) -> None:
         if not job.cancelled:
             self._observer.job_first_token(self, job)
 
@@ -260,11 +262,11 @@
             return
         self._release(job)
         self._observer.job_finished(self, job)
-        self._pump()
+        self._schedule_jobs()
         self._observer.load_changed(self)
 
     def _release(self, job: Job) -> None:
         self.jobs.discard(job)
-        if job.placed:
-            self._placed -= 1
-            job.placed = False
+        if job.in_batch:
+            self._batch_size -= 1
+            job.in_batch = False
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -18,11 +18,11 @@
 
 # Span of the windows in which recovery is looked for, and the ratio to the
 # time before the fault that counts as recovered.
-WINDOW_S = 3.0
+RECOVERY_WINDOW_S = 3.0
 RECOVERED_RATIO = 1.5
 
-USUAL = world.Lag()
-LATE = world.Lag(base_s=1.0, jitter_s=0.5, loss=0.05)
+NORMAL_LAG = world.Lag()
+HIGH_LAG = world.Lag(base_s=1.0, jitter_s=0.5, loss=0.05)
 SLOW_SPEED = 0.25
 
 # Upper bound of the histograms in microseconds: 2 minutes.
@@ -47,43 +47,43 @@
     load: float = 1.0
     of_capacity: bool = False
     shift: bool = False
-    lag: world.Lag = USUAL
-    fault: Callable[[world.World], None] | None = None
+    lag: world.Lag = NORMAL_LAG
+    fault: Callable[[world.Simulation], None] | None = None
 
 
-def _half_dead(where: world.World) -> None:
-    for i, name in enumerate(sorted(where.runners)[: world.RUNNERS // 2 + 1]):
+def _crash_half_of_runners(sim: world.Simulation) -> None:
+    for i, name in enumerate(sorted(sim.runners)[: world.RUNNERS // 2 + 1]):
         # Weights load on three runners at once, 0.5 s each.
-        where.crash_runner(name, 4.0 + 0.5 * (i // 3 + 1))
+        sim.crash_runner(name, 4.0 + 0.5 * (i // 3 + 1))
 
 
-def _data_centre_gone(where: world.World) -> None:
-    for name, runner in sorted(where.runners.items()):
+def _crash_data_centre(sim: world.Simulation) -> None:
+    for name, runner in sorted(sim.runners.items()):
         if runner.endpoint.data_centre == "dc0":
-            where.crash_runner(name, 15.0)
-    for router in where.routers:
-        if router.data_centre == "dc0" and len(where.routers) > 1:
-            where.stop_router(router.number, 15.0)
+            sim.crash_runner(name, 15.0)
+    for router in sim.routers:
+        if router.data_centre == "dc0" and len(sim.routers) > 1:
+            sim.stop_router(router.number, 15.0)
 
 
-def _routers_restart(where: world.World) -> None:
-    for router in where.routers:
-        where.stop_router(router.number, 0.5)
+def _restart_all_routers(sim: world.Simulation) -> None:
+    for router in sim.routers:
+        sim.stop_router(router.number, 0.5)
 
 
-def _slow_runner(where: world.World) -> None:
-    where.runners["r0"].speed = SLOW_SPEED
+def _slow_down_runner(sim: world.Simulation) -> None:
+    sim.runners["r0"].speed = SLOW_SPEED
 
 
 SCENARIOS = (
     Scenario("steady"),
     Scenario("overload 1.3", load=1.3, of_capacity=True),
     Scenario("hot prefix shift", shift=True),
-    Scenario("half of runners dead", fault=_half_dead),
-    Scenario("events lost and late", lag=LATE),
-    Scenario("data centre gone", fault=_data_centre_gone),
-    Scenario("all routers restart", fault=_routers_restart),
-    Scenario("one slow runner", fault=_slow_runner),
+    Scenario("half of runners dead", fault=_crash_half_of_runners),
+    Scenario("events lost and late", lag=HIGH_LAG),
+    Scenario("data centre gone", fault=_crash_data_centre),
+    Scenario("all routers restart", fault=_restart_all_routers),
+    Scenario("one slow runner", fault=_slow_down_runner),
 )
 
 
@@ -99,7 +99,7 @@
 
 
 @attrs.frozen
-class Figures:
+class CaseResult:
     """What one run measured.
 
     Attributes:
@@ -131,7 +131,7 @@
     recovery_s: float | None
 
 
-def measured_load(
+def load_measure(
     deployment: workloads.Deployment,
 ) -> Callable[[Sequence[workloads.Request]], float]:
     """Makes the function that measures the load of a trace."""
@@ -152,11 +152,11 @@
 
 def run_case(
     case: Case, variant: variants.Variant, scenario: Scenario
-) -> Figures:
+) -> CaseResult:
     """Runs the traces of one case; equal cases give equal figures."""
     deployment = workloads.DEPLOYMENTS[case.deployment]
     base = deployment.capacity if scenario.of_capacity else deployment.steady
-    worlds = []
+    simulations = []
     for n in range(case.traces):
         requests = workloads.make_requests(
             deployment,
@@ -164,13 +164,13 @@
             base * scenario.load,
             DURATION_S,
             FAULT_AT_S if scenario.shift else None,
-            measured_load(deployment),
+            load_measure(deployment),
         )
-        worlds.append(
+        simulations.append(
             _run(deployment, case.seed + n, requests, variant, scenario)
         )
-    faulty = scenario.shift or scenario.fault is not None
-    return _figures(case, worlds, faulty)
+    has_fault = scenario.shift or scenario.fault is not None
+    return _case_result(case, simulations, has_fault)
 
 
 def _run(
@@ -179,48 +179,48 @@
     requests: Sequence[workloads.Request],
     variant: variants.Variant,
     scenario: Scenario,
-) -> world.World:
+) -> world.Simulation:
     lag = world.NO_LAG if variant.no_lag else scenario.lag
     if variant.no_events:
         lag = attrs.evolve(lag, loss=1.0)
-    where = world.World(
+    sim = world.Simulation(
         deployment,
         requests,
-        variants.maker(variant),
+        variants.scheduler_factory(variant),
         lag,
         seed,
         variant.routers,
-        variant.look_up,
+        variant.owner_lookup,
     )
     if scenario.fault is not None:
-        where.at(FAULT_AT_S, scenario.fault, where)
-    where.run(DURATION_S + DRAIN_S)
-    return where
+        sim.call_at(FAULT_AT_S, scenario.fault, sim)
+    sim.run(DURATION_S + DRAIN_S)
+    return sim
 
 
-def ttft_s(record: world.Record) -> float:
+def ttft_s(record: world.RequestRecord) -> float:
     """Time to the first token; the deadline for a refused request."""
     if record.first_at is None or record.refused:
         return record.request.deadline_s
     return record.first_at - record.request.at
 
 
-def _figures(
-    case: Case, worlds: Sequence[world.World], faulty: bool
-) -> Figures:
+def _case_result(
+    case: Case, simulations: Sequence[world.Simulation], has_fault: bool
+) -> CaseResult:
     records = [
         record
-        for where in worlds
-        for record in where.records
+        for sim in simulations
+        for record in sim.records
         if record.request.at >= MEASURED_FROM_S
     ]
     answered = [r for r in records if r.cached is not None]
     computed = sum(
-        r.computed_tokens for w in worlds for r in w.runners.values()
+        r.computed_tokens for w in simulations for r in w.runners.values()
     )
     needed = sum(
         workloads.first_need_tokens([r.request for r in w.records])
-        for w in worlds
+        for w in simulations
     )
     refusals: dict[str, int] = {}
     for record in records:
@@ -233,7 +233,7 @@
         ]
         for priority in models.Priority
     }
-    return Figures(
+    return CaseResult(
         case=case,
         requests=len(records),
         hit_rate=sum(r.cached for r in answered) / max(1, blocks),
@@ -248,11 +248,11 @@
         },
         retries=sum(r.retries for r in records),
         resubmits=sum(r.resubmits for r in records),
-        recovery_s=_recovery_s(by_class["guest"]) if faulty else None,
+        recovery_s=_recovery_s(by_class["guest"]) if has_fault else None,
     )
 
 
-def _quantiles(records: Sequence[world.Record]) -> tuple[float, ...]:
+def _quantiles(records: Sequence[world.RequestRecord]) -> tuple[float, ...]:
     histogram = HdrHistogram(1, HISTOGRAM_MAX_US, 3)
     for record in records:
         histogram.record_value(max(1, int(ttft_s(record) * 1e6)))
@@ -261,21 +261,23 @@
     )
 
 
-def _recovery_s(records: Sequence[world.Record]) -> float:
+def _recovery_s(records: Sequence[world.RequestRecord]) -> float:
     """Time after which no later window is much slower than before."""
     before = [
-        ttft_s(r) for r in records if r.request.at < FAULT_AT_S - WINDOW_S
+        ttft_s(r)
+        for r in records
+        if r.request.at < FAULT_AT_S - RECOVERY_WINDOW_S
     ]
     bound = RECOVERED_RATIO * _p95(before)
     start, recovered = FAULT_AT_S, 0.0
-    while start + WINDOW_S <= DURATION_S:
+    while start + RECOVERY_WINDOW_S <= DURATION_S:
         window = [
             ttft_s(r)
             for r in records
-            if start <= r.request.at < start + WINDOW_S
+            if start <= r.request.at < start + RECOVERY_WINDOW_S
         ]
         if window and _p95(window) > bound:
-            recovered = start + WINDOW_S - FAULT_AT_S
+            recovered = start + RECOVERY_WINDOW_S - FAULT_AT_S
         start += 1.0
     if recovered >= DURATION_S - FAULT_AT_S - 1.0:
         return math.inf
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -20,11 +20,11 @@
 HASH_MEGABYTES = (1, 4, 16)
 WINDOWS_S = (0.1, 1.0, 5.0)
 REPEATS = 5
-CHAIN = 40
+CHAIN_BLOCKS = 40
 REPLICAS = 2
 
 
-def least_us(action: Callable[[], int]) -> float:
+def min_cpu_us(action: Callable[[], int]) -> float:
     """CPU microseconds per operation; the action returns their number."""
     best = float("inf")
     for _ in range(REPEATS):
@@ -61,8 +61,8 @@
     rng = random.Random(1)
     numbers = dict.fromkeys((f"r{i}" for i in range(endpoints)), 0)
     chains = []
-    for n in range(blocks // CHAIN):
-        chain = workloads.extend((), f"chain{n}", CHAIN)
+    for n in range(blocks // CHAIN_BLOCKS):
+        chain = workloads.extend_chain((), f"chain{n}", CHAIN_BLOCKS)
         chains.append(chain)
         for name in rng.sample(sorted(numbers), REPLICAS):
             numbers[name] += 1
@@ -95,12 +95,12 @@
                 sched.finished(decision.attempt, result, now)
         return count
 
-    return least_us(submit)
+    return min_cpu_us(submit)
 
 
 def _ticket(i: int, chains: list[tuple[int, ...]], now: float) -> models.Ticket:
     blocks = chains[i * 7 % len(chains)]
-    tokens = CHAIN * prefixes.BLOCK_TOKENS + 500
+    tokens = CHAIN_BLOCKS * prefixes.BLOCK_TOKENS + 500
     return models.Ticket(
         f"t{now}",
         "c0",
@@ -113,7 +113,7 @@
     )
 
 
-def entry_bytes(blocks: int, endpoints: int) -> float:
+def index_entry_bytes(blocks: int, endpoints: int) -> float:
     """Bytes per block in the index."""
     numbers = random.Random(1)
     hashes = [numbers.getrandbits(64) for _ in range(blocks)]
@@ -121,12 +121,14 @@
     cache = index.CacheIndex()
     for i in range(endpoints):
         cache.set_endpoint(f"r{i}", f"i{i}")
-    for n in range(0, blocks, CHAIN):
+    for n in range(0, blocks, CHAIN_BLOCKS):
         # Copied, so that the hashes count as part of the index.
-        chain = tuple(int(str(h)) for h in hashes[n : n + CHAIN])
+        chain = tuple(int(str(h)) for h in hashes[n : n + CHAIN_BLOCKS])
         for copy in range(REPLICAS):
-            number = (n // CHAIN) // endpoints + 1
-            name = f"r{(n // CHAIN + copy * (endpoints // 2)) % endpoints}"
+            number = (n // CHAIN_BLOCKS) // endpoints + 1
+            name = (
+                f"r{(n // CHAIN_BLOCKS + copy * (endpoints // 2)) % endpoints}"
+            )
             cache.apply(_stored(name, number * REPLICAS + copy, chain))
             cache.pop_gaps()
     used, _ = tracemalloc.get_traced_memory()
@@ -138,7 +140,8 @@
     """CPU per cache event, alternately stored and evicted."""
     sched, _ = filled_scheduler(9, size)
     chains = [
-        workloads.extend((), f"new{i}", blocks_per_event) for i in range(500)
+        workloads.extend_chain((), f"new{i}", blocks_per_event)
+        for i in range(500)
     ]
     runner = models.Endpoint(
         "r99", "i99", "", models.EndpointKind.RUNNER, ("guide",)
@@ -156,7 +159,7 @@
                 )
         return 2 * len(chains)
 
-    return least_us(apply)
+    return min_cpu_us(apply)
 
 
 def report_us(endpoints: int) -> float:
@@ -173,7 +176,7 @@
                 sched.report_load(item, 1.0)
         return 3000 // endpoints * endpoints
 
-    return least_us(apply)
+    return min_cpu_us(apply)
 
 
 def hash_us(megabytes: int) -> float:
@@ -186,10 +189,10 @@
             pass
         return megabytes
 
-    return least_us(apply)
+    return min_cpu_us(apply)
 
 
-class _RecordingWorld(world.World):
+class _RecordingSimulation(world.Simulation):
     """Records every block change of every runner."""
 
     def cache_changed(self, runner, change, blocks) -> None:
@@ -199,7 +202,9 @@
         super().cache_changed(runner, change, blocks)
 
 
-def recorded_world(deployment: workloads.Deployment) -> _RecordingWorld:
+def record_block_changes(
+    deployment: workloads.Deployment,
+) -> _RecordingSimulation:
     """Runs the steady bench and records the block changes."""
     requests = workloads.make_requests(
         deployment,
@@ -207,35 +212,33 @@
         deployment.steady,
         scenarios.DURATION_S,
         None,
-        scenarios.measured_load(deployment),
+        scenarios.load_measure(deployment),
     )
-    make = variants.maker(variants.OURS)
-    where = _RecordingWorld(deployment, requests, make, world.Lag(), 1)
-    where.changes = []
-    where.parents = {
+    make = variants.scheduler_factory(variants.PRODUCTION)
+    sim = _RecordingSimulation(deployment, requests, make, world.Lag(), 1)
+    sim.changes = []
+    sim.parents = {
         block: r.blocks[i - 1] if i else 0
         for r in requests
         for i, block in enumerate(r.blocks)
     }
-    where.run(scenarios.DURATION_S)
-    return where
+    sim.run(scenarios.DURATION_S)
+    return sim
 
 
-def events_per_run(where: _RecordingWorld, window_s: float) -> float:
+def changes_per_chain_run(sim: _RecordingSimulation, window_s: float) -> float:
     """Block changes per chain run, when a runner sends once per window.
 
     A chain run is a sequence of changes of one kind in which each block is
     the parent of the next.
     """
     groups: dict[tuple, set[int]] = {}
-    for at, name, change, block in where.changes:
+    for at, name, change, block in sim.changes:
         key = (int(at / window_s), name, change)
         groups.setdefault(key, set()).add(block)
     blocks = runs = 0
     for group in groups.values():
-        continued = {
-            where.parents[b] for b in group if where.parents[b] in group
-        }
+        continued = {sim.parents[b] for b in group if sim.parents[b] in group}
         blocks += len(group)
         runs += len(group) - len(continued)
     return blocks / runs
@@ -252,7 +255,7 @@
         rows.append(["submit", f"{size} blocks, 9 endpoints", f"{us:.0f} us"])
     for size in INDEX_SIZES:
         for count in (9, 600):
-            value = entry_bytes(size, count)
+            value = index_entry_bytes(size, count)
             label = f"{size} blocks, {count} endpoints"
             rows.append(["index entry", label, f"{value:.0f} B"])
     for size in INDEX_SIZES:
@@ -268,12 +271,12 @@
         us = hash_us(size)
         rows.append(["hashing", f"{size} MiB prompt", f"{us:.0f} us/MiB"])
     for deployment in workloads.DEPLOYMENTS.values():
-        where = recorded_world(deployment)
+        sim = record_block_changes(deployment)
         for window_s in WINDOWS_S:
             label = f"{deployment.name} steady, {window_s} s windows"
-            value = f"{events_per_run(where, window_s):.1f}"
+            value = f"{changes_per_chain_run(sim, window_s):.1f}"
             rows.append(["block changes per chain run", label, value])
-    return report.rows_of(("cost", "size", "measured"), rows)
+    return report.markdown_table(("cost", "size", "measured"), rows)
 
 
 def main() -> int:
@@ -281,7 +284,7 @@
     argparse.ArgumentParser(description=__doc__).parse_args()
     text = table()
     print(text)
-    report.write_section(decisions.PAGE, "slopes", text)
+    report.write_section(decisions.BENCHMARKS_PAGE, "slopes", text)
     return 0
 
 
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -85,13 +85,15 @@
         key = ticket.blocks[: self.ring_blocks]
         point = key[-1] if key else xxhash.xxh3_64_intdigest(ticket.id.encode())
         order = _ring_order(tuple(sorted(by_id)), self.points, point)
-        used = {name: self.occupancy(known[name]) for name in by_id}
-        bound = RING_BOUND * (sum(used.values()) + 1) / len(used)
-        ranked = sorted(order, key=lambda name: used[name] > max(1.0, bound))
+        occupancies = {name: self.occupancy(known[name]) for name in by_id}
+        bound = RING_BOUND * (sum(occupancies.values()) + 1) / len(occupancies)
+        ranked = sorted(
+            order, key=lambda name: occupancies[name] > max(1.0, bound)
+        )
         return [by_id[name] for name in ranked]
 
 
-Change = Callable[[scheduler.SchedulerConfig], scheduler.SchedulerConfig]
+ConfigChange = Callable[[scheduler.SchedulerConfig], scheduler.SchedulerConfig]
 
 
 @attrs.frozen
@@ -110,34 +112,34 @@
 
     name: str
     placer: type[placement.Placer] = placement.Placer
-    change: Change = lambda cfg: cfg
+    change: ConfigChange = lambda cfg: cfg
     no_lag: bool = False
     no_events: bool = False
-    look_up: bool = False
+    owner_lookup: bool = False
     routers: int = world.ROUTERS
 
 
-def _placing(**fields: float) -> Change:
+def _with_placement(**fields: float) -> ConfigChange:
     return lambda cfg: attrs.evolve(
         cfg, placement_cfg=attrs.evolve(cfg.placement_cfg, **fields)
     )
 
 
-def _admitting(**fields: object) -> Change:
+def _with_admission(**fields: object) -> ConfigChange:
     return lambda cfg: attrs.evolve(
         cfg, admission_cfg=attrs.evolve(cfg.admission_cfg, **fields)
     )
 
 
-def _retrying(**fields: float) -> Change:
+def _with_retry(**fields: float) -> ConfigChange:
     return lambda cfg: attrs.evolve(
         cfg, retry_cfg=attrs.evolve(cfg.retry_cfg, **fields)
     )
 
 
-NEVER = 1e9
+EFFECTIVELY_INFINITE = 1e9
 
-OURS = Variant("knapweedarch")
+PRODUCTION = Variant("knapweedarch")
 REFERENCES = (
     Variant("reference, 1 router", no_lag=True, routers=1),
     Variant("reference, 8 routers", no_lag=True),
@@ -147,39 +149,51 @@
     Variant("least load", LeastLoad),
     Variant("bounded ring", BoundedRing),
 )
-COMPARED = (OURS, *REFERENCES, *BASELINES)
+COMPARED = (PRODUCTION, *REFERENCES, *BASELINES)
 
 # Ways to know the caches, weighed against the chosen mix.
-WAYS = (
-    Variant("index only", change=_placing(max_rank_charge_s=0.0)),
-    Variant("index at prefix owner", look_up=True),
+ALTERNATIVES = (
+    Variant("index only", change=_with_placement(max_rank_charge_s=0.0)),
+    Variant("index at prefix owner", owner_lookup=True),
     Variant("mix without events", no_events=True),
 )
 ABLATIONS = (
-    Variant("no recompute charge", change=_placing(recompute_weight=0.0)),
-    Variant("no eviction charge", change=_placing(eviction_weight=0.0)),
-    Variant("no balance charge", change=_placing(occupancy_charge_s=0.0)),
-    Variant("no rendezvous rank", change=_placing(max_rank_charge_s=0.0)),
-    Variant("no peer correction", change=_placing(peer_weight=0.0)),
-    Variant("no hot copies", change=_placing(hot_load_target=NEVER)),
+    Variant(
+        "no recompute charge", change=_with_placement(recompute_weight=0.0)
+    ),
+    Variant("no eviction charge", change=_with_placement(eviction_weight=0.0)),
+    Variant(
+        "no balance charge", change=_with_placement(occupancy_charge_s=0.0)
+    ),
+    Variant(
+        "no rendezvous rank", change=_with_placement(max_rank_charge_s=0.0)
+    ),
+    Variant("no peer correction", change=_with_placement(peer_weight=0.0)),
+    Variant(
+        "no hot copies",
+        change=_with_placement(hot_load_target=EFFECTIVELY_INFINITE),
+    ),
     Variant(
         "no assumed entries",
         change=lambda cfg: attrs.evolve(cfg, assumed_ttl_s=0.0),
     ),
     Variant(
         "no class limits",
-        change=_admitting(fill=dict.fromkeys(models.Priority, 2.0)),
+        change=_with_admission(fill=dict.fromkeys(models.Priority, 2.0)),
+    ),
+    Variant("no ageing", change=_with_admission(ageing_s=EFFECTIVELY_INFINITE)),
+    Variant(
+        "no ejection",
+        change=_with_retry(slow_floor_s=EFFECTIVELY_INFINITE, failures=10**9),
     ),
-    Variant("no ageing", change=_admitting(ageing_s=NEVER)),
     Variant(
-        "no ejection", change=_retrying(slow_floor_s=NEVER, failures=10**9)
+        "no retry budget", change=_with_retry(reserve=EFFECTIVELY_INFINITE)
     ),
-    Variant("no retry budget", change=_retrying(reserve=NEVER)),
-    Variant("no slow start", change=_retrying(slow_start_s=1e-9)),
+    Variant("no slow start", change=_with_retry(slow_start_s=1e-9)),
 )
 
 
-def configure(
+def scheduler_config(
     deployment: workloads.Deployment,
     data_centre: str,
     routers: int,
@@ -187,7 +201,7 @@
 ) -> scheduler.SchedulerConfig:
     """Configuration of a deployment's routers."""
     distances = {f"dc{i}": one_way_s for i in range(world.DATA_CENTRES)}
-    distances[data_centre] = world.SAME_CENTRE_S
+    distances[data_centre] = world.SAME_DATA_CENTRE_DELAY_S
     return scheduler.SchedulerConfig(
         placement_cfg=placement.PlacementConfig(
             prefill_tokens_s=runners.PREFILL_TOKENS_S,
@@ -200,21 +214,25 @@
     )
 
 
-def maker(
+def scheduler_factory(
     variant: Variant,
-) -> Callable[[str, int, world.World], scheduler.Scheduler]:
+) -> Callable[[str, int, world.Simulation], scheduler.Scheduler]:
     """Makes the function with which a world starts its routers."""
 
     def make(
-        data_centre: str, seed: int, where: world.World
+        data_centre: str, seed: int, sim: world.Simulation
     ) -> scheduler.Scheduler:
-        deployment = where.deployment
+        deployment = sim.deployment
         # The reference's only router is near every runner.
         one_way_s = (
-            world.SAME_CENTRE_S if variant.no_lag else deployment.one_way_s
+            world.SAME_DATA_CENTRE_DELAY_S
+            if variant.no_lag
+            else deployment.one_way_s
         )
         cfg = variant.change(
-            configure(deployment, data_centre, len(where.routers), one_way_s)
+            scheduler_config(
+                deployment, data_centre, len(sim.routers), one_way_s
+            )
         )
         placer = variant.placer(cfg.placement_cfg)
         if isinstance(placer, BoundedRing):
@@ -224,6 +242,6 @@
     return make
 
 
-def named(variants: Sequence[Variant]) -> dict[str, Variant]:
+def by_name(variants: Sequence[Variant]) -> dict[str, Variant]:
     """Variants by name."""
     return {v.name: v for v in variants}
--- a/bench/virtual_group.py
+++ b/bench/virtual_group.py
@@ -25,7 +25,7 @@
 )
 
 STEP_S = 0.025
-MAX_RATE_ERROR = 0.024
+MAX_CLOCK_RATE_ERROR = 0.024
 
 
 @attrs.define
@@ -63,7 +63,7 @@
 
     name: str
     disk: Disk
-    rate: float = 1.0
+    clock_rate: float = 1.0
     replica: Replica | None = None
     frozen_until: float = 0.0
     state: list[bytes] = attrs.Factory(list)
@@ -73,11 +73,13 @@
 
     def clock(self, now: float) -> float:
         """Returns the member's own clock."""
-        return now * self.rate + 100.0
+        return now * self.clock_rate + 100.0
 
     def lease_end(self, now: float) -> float:
         """Returns the end of the leader lease in the time of the net."""
-        return (self.replica.leads_until(self.clock(now)) - 100.0) / self.rate
+        return (
+            self.replica.leads_until(self.clock(now)) - 100.0
+        ) / self.clock_rate
 
 
 class VirtualGroup:
@@ -96,22 +98,25 @@
         self.step_s = STEP_S
         self.loss = self.duplication = 0.0
         self.delay = (0.001, 0.005)
-        self.cut: set[tuple[str, str]] = set()
-        self.compact_each = 0
+        self.blocked_links: set[tuple[str, str]] = set()
+        self.compact_interval = 0
         self.replica_class = replica_class
         self.save_before_send = save_before_send
         self.keep_identity = keep_identity
-        self.measures = False
+        self.record_message_sizes = False
         self.largest_message = 0
         self.elections = 0
         self._newest_term = 0
-        self._flying: list = []
+        self._in_flight: list = []
         self._order = itertools.count()
         self.nodes = {
             name: Node(
                 name,
-                Disk(self._identity()),
-                1 + self.random.uniform(-MAX_RATE_ERROR, MAX_RATE_ERROR),
+                Disk(self._create_identity()),
+                1
+                + self.random.uniform(
+                    -MAX_CLOCK_RATE_ERROR, MAX_CLOCK_RATE_ERROR
+                ),
             )
             for name in names
         }
@@ -122,7 +127,7 @@
             node.disk.save(Output(HardState(1), entries=(entry,)))
             self.start(node.name)
 
-    def _identity(self) -> str:
+    def _create_identity(self) -> str:
         return f"{self.random.getrandbits(64):016x}"
 
     def _member(self, node: Node, voter: bool) -> Member:
@@ -145,8 +150,8 @@
             self._restore(node, restored.snapshot)
         for other in self.nodes.values():
             if other.replica and other is not node:
-                self._greet(node, other)
-                self._greet(other, node)
+                self._note_peer(node, other)
+                self._note_peer(other, node)
 
     def start_all(self) -> None:
         """Starts every member that does not run."""
@@ -154,9 +159,9 @@
             if node.replica is None:
                 self.start(name)
 
-    def _greet(self, told: Node, teller: Node) -> None:
-        told.replica.note_peer(
-            teller.name, teller.disk.identity, "127.0.0.1", 1
+    def _note_peer(self, receiver: Node, sender: Node) -> None:
+        receiver.replica.note_peer(
+            sender.name, sender.disk.identity, "127.0.0.1", 1
         )
 
     def crash(self, name: str) -> None:
@@ -168,15 +173,17 @@
         self.crash(name)
         node = self.nodes[name]
         identity = node.disk.identity
-        node.disk = Disk(identity if self.keep_identity else self._identity())
+        node.disk = Disk(
+            identity if self.keep_identity else self._create_identity()
+        )
 
     def add(self, name: str) -> Member:
         """Starts a blank member; returns it as a learner."""
-        self.nodes[name] = Node(name, Disk(self._identity()))
+        self.nodes[name] = Node(name, Disk(self._create_identity()))
         self.start(name)
         return self._member(self.nodes[name], False)
 
-    def counts(self, name: str) -> bool:
+    def may_be_voter(self, name: str) -> bool:
         """Tells whether any member takes this one for a voter."""
         identity = self.nodes[name].disk.identity
         return any(
@@ -185,7 +192,7 @@
             for m in (n.replica.members if n.replica else ())
         ) or any(n.replica is None for n in self.nodes.values())
 
-    def repaired(self) -> bool:
+    def membership_repaired(self) -> bool:
         """Tells whether each member's present identity is a voter."""
         node = self.lease_holder()
         if node is None or node.replica.members_pending:
@@ -201,15 +208,15 @@
     def isolate(self, name: str) -> None:
         """Cuts a member off without an error at either end."""
         for other in self.nodes:
-            self.sever(name, other)
+            self.block_link(name, other)
 
-    def sever(self, name: str, other: str) -> None:
+    def block_link(self, name: str, other: str) -> None:
         """Cuts the link between two members without an error."""
-        self.cut |= {(name, other), (other, name)}
+        self.blocked_links |= {(name, other), (other, name)}
 
     def heal(self) -> None:
         """Ends all partitions."""
-        self.cut = set()
+        self.blocked_links = set()
 
     # Running.
 
@@ -228,9 +235,9 @@
 
     def lease_holder(self) -> Node | None:
         """Returns the member whose leader lease holds."""
-        return next((n for n in self.running() if self._leads(n)), None)
+        return next((n for n in self.running() if self._holds_lease(n)), None)
 
-    def _leads(self, node: Node) -> bool:
+    def _holds_lease(self, node: Node) -> bool:
         return node.lease_end(self.now) > self.now
 
     def propose(self, data: bytes) -> int | None:
@@ -261,16 +268,16 @@
     def step(self) -> None:
         """Lets one step pass for every member."""
         self.now += self.step_s
-        while self._flying and self._flying[0][0] <= self.now:
-            _, _, sender, receiver, message = heapq.heappop(self._flying)
+        while self._in_flight and self._in_flight[0][0] <= self.now:
+            _, _, sender, receiver, message = heapq.heappop(self._in_flight)
             self.nodes[receiver].inbox.append((sender, message))
         for node in self.running():
-            own_now = node.clock(self.now)
+            local_now = node.clock(self.now)
             inbox, node.inbox = node.inbox, []
             for sender, message in inbox:
-                node.replica.receive(sender, message, own_now)
-            node.replica.tick(own_now)
-            self._output(node)
+                node.replica.receive(sender, message, local_now)
+            node.replica.tick(local_now)
+            self._process_output(node)
         for node in self.nodes.values():
             if node.replica is None:
                 node.inbox = []
@@ -282,7 +289,7 @@
             self._newest_term = node.replica.term
             self.elections += 1
 
-    def _output(self, node: Node) -> None:
+    def _process_output(self, node: Node) -> None:
         output = node.replica.take_output()
         if node.crash_before_save:
             if not self.save_before_send:
@@ -304,29 +311,38 @@
             copies = 1 + (self.random.random() < self.duplication)
             for _ in range(copies):
                 link = (node.name, receiver)
-                if link in self.cut or self.random.random() < self.loss:
+                if (
+                    link in self.blocked_links
+                    or self.random.random() < self.loss
+                ):
                     continue
-                self._measure(message)
-                due = self.now + self.random.uniform(*self.delay)
+                self._record_message_size(message)
+                delivery_time = self.now + self.random.uniform(*self.delay)
                 heapq.heappush(
-                    self._flying,
-                    (due, next(self._order), node.name, receiver, message),
+                    self._in_flight,
+                    (
+                        delivery_time,
+                        next(self._order),
+                        node.name,
+                        receiver,
+                        message,
+                    ),
                 )
 
-    def _measure(self, message) -> None:
-        if self.measures:
+    def _record_message_size(self, message) -> None:
+        if self.record_message_sizes:
             size = len(MESSAGES.encode(message))
             self.largest_message = max(self.largest_message, size)
 
     def _compact(self, node: Node) -> None:
         if (
-            self.compact_each
-            and node.replica.entries_since_snapshot >= self.compact_each
+            self.compact_interval
+            and node.replica.entries_since_snapshot >= self.compact_interval
             and node.applied > (getattr(node.disk.snapshot, "index", 0))
         ):
             data = b"\n".join(node.state)
-            own_now = node.clock(self.now)
-            node.replica.compact(node.applied, data, own_now)
+            local_now = node.clock(self.now)
+            node.replica.compact(node.applied, data, local_now)
 
     def _restore(self, node: Node, snapshot: Snapshot) -> None:
         node.state = snapshot.data.split(b"\n") if snapshot.data else []
@@ -337,7 +353,7 @@
         if entry.kind is EntryKind.DATA:
             node.state.append(entry.data)
 
-    def elected(self) -> tuple[str, ...]:
+    def wait_for_leader(self) -> tuple[str, ...]:
         """Waits for a leader; returns its name and those of the others."""
         self.run_until(self.lease_holder, 10.0)
         self.run(0.3)
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -88,12 +88,14 @@
     service_s: float
     eviction_weight: float
     deadlines_s: dict[models.Priority, float]
-    generate: Callable[["Mix"], None]
+    generate: Callable[["TraceBuilder"], None]
     steady: float
     capacity: float
 
 
-def extend(parent: tuple[int, ...], label: str, count: int) -> tuple[int, ...]:
+def extend_chain(
+    parent: tuple[int, ...], label: str, count: int
+) -> tuple[int, ...]:
     """Appends `count` chained blocks of the content `label`."""
     chain = list(parent)
     for i in range(count):
@@ -102,7 +104,7 @@
     return tuple(chain)
 
 
-class Mix:
+class TraceBuilder:
     """Collects the requests of one run."""
 
     def __init__(
@@ -148,7 +150,7 @@
             )
         )
 
-    def customer(self) -> str:
+    def draw_customer(self) -> str:
         """Draws a customer by share."""
         names = [f"c{i}" for i in range(len(CUSTOMER_SHARES))]
         return self.rng.choices(names, CUSTOMER_SHARES)[0]
@@ -158,20 +160,20 @@
     ) -> Iterator[float]:
         """Poisson arrivals; `burst` times more in 3 s of every 20 s."""
         now = start
-        most = rate * (1 + burst)
-        while most and now < self.duration_s:
-            now += self.rng.expovariate(most)
-            busy = now % 20.0 >= 17.0
-            if busy or self.rng.random() * (1 + burst) < 1:
+        peak_rate = rate * (1 + burst)
+        while peak_rate and now < self.duration_s:
+            now += self.rng.expovariate(peak_rate)
+            in_burst = now % 20.0 >= 17.0
+            if in_burst or self.rng.random() * (1 + burst) < 1:
                 yield now
 
-    def epoch(self, at: float) -> int:
+    def hot_set(self, at: float) -> int:
         """Number of the hot set: 0 before the shift, 1 after it."""
         return int(self.shift_at is not None and at >= self.shift_at)
 
 
-def _conversation(
-    mix: Mix,
+def _add_conversation(
+    trace: TraceBuilder,
     at: float,
     customer: str,
     root: tuple[int, ...],
@@ -182,81 +184,91 @@
     tokens = 300
     for _ in range(turns):
         full = tokens // prefixes.BLOCK_TOKENS
-        blocks = extend(root, label, full)
+        blocks = extend_chain(root, label, full)
         tail = tokens % prefixes.BLOCK_TOKENS
-        out = 60 + int(mix.rng.expovariate(1 / 60))
-        mix.add(at, customer, models.Priority.GUEST, blocks, tail, out)
-        tokens += out + 150 + int(mix.rng.expovariate(1 / 700))
-        at += 3.0 + mix.rng.expovariate(1 / 5.0)
+        out = 60 + int(trace.rng.expovariate(1 / 60))
+        trace.add(at, customer, models.Priority.GUEST, blocks, tail, out)
+        tokens += out + 150 + int(trace.rng.expovariate(1 / 700))
+        at += 3.0 + trace.rng.expovariate(1 / 5.0)
 
 
-def _turns(rng: random.Random) -> int:
+def _draw_turn_count(rng: random.Random) -> int:
     return 1 + min(9, int(rng.expovariate(1 / 3.0)))
 
 
-def huts_traffic(mix: Mix) -> None:
+def huts_traffic(trace: TraceBuilder) -> None:
     """Guests' chats and availability checks over overnight summaries."""
     roots = {}
     for i in range(len(CUSTOMER_SHARES)):
-        system = extend((), f"huts-system/c{i}", 1)
-        roots[f"c{i}"] = extend(system, "fleet", 2)
-    for n, at in enumerate(mix.arrivals(5.0 * mix.scale, -30.0, burst=1.0)):
-        customer = mix.customer()
-        log = extend(roots[customer], f"weather{mix.epoch(at)}", 5)
-        _conversation(mix, at, customer, log, f"chat{n}", _turns(mix.rng))
-    for at in mix.arrivals(10.0 * mix.scale, burst=1.0):
-        customer = mix.customer()
+        system = extend_chain((), f"huts-system/c{i}", 1)
+        roots[f"c{i}"] = extend_chain(system, "fleet", 2)
+    for n, at in enumerate(trace.arrivals(5.0 * trace.scale, -30.0, burst=1.0)):
+        customer = trace.draw_customer()
+        log = extend_chain(roots[customer], f"weather{trace.hot_set(at)}", 5)
+        _add_conversation(
+            trace, at, customer, log, f"chat{n}", _draw_turn_count(trace.rng)
+        )
+    for at in trace.arrivals(10.0 * trace.scale, burst=1.0):
+        customer = trace.draw_customer()
         root = roots[customer]
-        mix.add(at, customer, models.Priority.AVAILABILITY, root, 400, 15)
-    for at in mix.arrivals(4.0 * mix.scale):
-        customer = mix.customer()
-        log = extend(roots[customer], f"weather{mix.epoch(at)}", 5)
-        mix.add(at, customer, models.Priority.INTERACTIVE, log, 900, 200)
-    for n, at in enumerate(mix.arrivals(0.7 * mix.scale, -5.0)):
-        customer = mix.customer()
-        size = mix.rng.randint(6, 16)
-        log = extend(roots[customer], f"trail{n}", size)
+        trace.add(at, customer, models.Priority.AVAILABILITY, root, 400, 15)
+    for at in trace.arrivals(4.0 * trace.scale):
+        customer = trace.draw_customer()
+        log = extend_chain(roots[customer], f"weather{trace.hot_set(at)}", 5)
+        trace.add(at, customer, models.Priority.INTERACTIVE, log, 900, 200)
+    for n, at in enumerate(trace.arrivals(0.7 * trace.scale, -5.0)):
+        customer = trace.draw_customer()
+        size = trace.rng.randint(6, 16)
+        log = extend_chain(roots[customer], f"trail{n}", size)
         for _ in range(3):
-            mix.add(at, customer, models.Priority.BATCH, log, 500, 250)
-            at += mix.rng.uniform(0.5, 4.0)
+            trace.add(at, customer, models.Priority.BATCH, log, 500, 250)
+            at += trace.rng.uniform(0.5, 4.0)
 
 
-def bindery_traffic(mix: Mix) -> None:
+def bindery_traffic(trace: TraceBuilder) -> None:
     """Page checks against whole manuscripts, and drafts with families."""
     numbers = itertools.count()
-    for at in mix.arrivals(0.3 * mix.scale, -40.0):
-        _manuscript(mix, at, mix.customer(), f"m{next(numbers)}")
-    _manuscript_under_proof(mix)
+    for at in trace.arrivals(0.3 * trace.scale, -40.0):
+        _add_manuscript(trace, at, trace.draw_customer(), f"m{next(numbers)}")
+    _add_hot_manuscript(trace)
 
 
-def _manuscript(mix: Mix, at: float, customer: str, label: str) -> None:
+def _add_manuscript(
+    trace: TraceBuilder, at: float, customer: str, label: str
+) -> None:
     """One manuscript: read, checked page by page, drafted with a family."""
-    rng = mix.rng
-    system = extend((), f"bindery-system/{customer}", 1)
-    text = extend(system, label, rng.randint(20, 50))
-    mix.add(at, customer, models.Priority.BATCH, text, 300, 300)
+    rng = trace.rng
+    system = extend_chain((), f"bindery-system/{customer}", 1)
+    text = extend_chain(system, label, rng.randint(20, 50))
+    trace.add(at, customer, models.Priority.BATCH, text, 300, 300)
     page_at = at + 4.0
     for _ in range(rng.randint(60, 160)):
         page_at += rng.expovariate(4.0)
         out = 40 + int(rng.expovariate(1 / 40))
-        mix.add(page_at, customer, models.Priority.INTERACTIVE, text, 700, out)
+        trace.add(
+            page_at, customer, models.Priority.INTERACTIVE, text, 700, out
+        )
     for n in range(rng.randint(2, 6)):
         begin = at + rng.uniform(6.0, 40.0)
-        _conversation(mix, begin, customer, text, f"{label}/f{n}", _turns(rng))
+        _add_conversation(
+            trace, begin, customer, text, f"{label}/f{n}", _draw_turn_count(rng)
+        )
 
 
-def _manuscript_under_proof(mix: Mix) -> None:
+def _add_hot_manuscript(trace: TraceBuilder) -> None:
     """The hot manuscript of the largest customer, for the whole run."""
-    rng = mix.rng
-    system = extend((), "bindery-system/c0", 1)
-    texts = [extend(system, f"proof{e}", 40) for e in (0, 1)]
-    for at in mix.arrivals(9.0 * mix.scale, burst=1.0):
-        text = texts[mix.epoch(at)]
+    rng = trace.rng
+    system = extend_chain((), "bindery-system/c0", 1)
+    texts = [extend_chain(system, f"proof{e}", 40) for e in (0, 1)]
+    for at in trace.arrivals(9.0 * trace.scale, burst=1.0):
+        text = texts[trace.hot_set(at)]
         out = 40 + int(rng.expovariate(1 / 40))
-        mix.add(at, "c0", models.Priority.INTERACTIVE, text, 700, out)
-    for n, at in enumerate(mix.arrivals(0.8 * mix.scale, burst=1.0)):
-        text = texts[mix.epoch(at)]
-        _conversation(mix, at, "c0", text, f"pf{n}", _turns(rng))
+        trace.add(at, "c0", models.Priority.INTERACTIVE, text, 700, out)
+    for n, at in enumerate(trace.arrivals(0.8 * trace.scale, burst=1.0)):
+        text = texts[trace.hot_set(at)]
+        _add_conversation(
+            trace, at, "c0", text, f"pf{n}", _draw_turn_count(rng)
+        )
 
 
 HUTS = Deployment(
@@ -331,9 +343,9 @@
     """Makes a trace whose utilisation is close to `load`."""
     scale = 1.0
     for _ in range(3):
-        mix = Mix(deployment, seed, scale, duration_s, shift_at)
-        deployment.generate(mix)
-        scale *= load / measure(mix.requests)
-    mix = Mix(deployment, seed, scale, duration_s, shift_at)
-    deployment.generate(mix)
-    return sorted(mix.requests, key=lambda r: (r.at, r.id))
+        trace = TraceBuilder(deployment, seed, scale, duration_s, shift_at)
+        deployment.generate(trace)
+        scale *= load / measure(trace.requests)
+    trace = TraceBuilder(deployment, seed, scale, duration_s, shift_at)
+    deployment.generate(trace)
+    return sorted(trace.requests, key=lambda r: (r.at, r.id))
--- a/bench/world.py
+++ b/bench/world.py
@@ -12,21 +12,21 @@
 RUNNERS = 9
 DATA_CENTRES = 3
 ROUTERS = 8
-SAME_CENTRE_S = 0.0003
-REPORT_S = 0.25
-SNAPSHOT_CHECK_S = 0.05
+SAME_DATA_CENTRE_DELAY_S = 0.0003
+REPORT_INTERVAL_S = 0.25
+SNAPSHOT_CHECK_INTERVAL_S = 0.05
 
 # Time that a runner needs to answer with a snapshot. Events sent before may
 # arrive after it; their numbers tell.
-SNAPSHOT_S = 0.02
+SNAPSHOT_TIME_S = 0.02
 
 # Time after which routers notice a broken feed, and after which a restarted
 # runner's announcement has reached the routers through the log.
-FEED_LOST_S = 0.3
-ANNOUNCE_S = 0.8
+FEED_LOSS_DETECTION_S = 0.3
+ANNOUNCE_DELAY_S = 0.8
 
 # Callers whose router stopped try another one after this time.
-RESUBMIT_S = 0.2
+RESUBMIT_DELAY_S = 0.2
 
 
 @attrs.frozen
@@ -48,7 +48,7 @@
 
 
 @attrs.define(eq=False)
-class Record:
+class RequestRecord:
     """What happened to one request.
 
     Attributes:
@@ -76,33 +76,33 @@
     def __init__(self, number: int, data_centre: str):
         self.number = number
         self.data_centre = data_centre
-        self.life = 0
+        self.generation = 0
         self.alive = True
         self.scheduler: scheduler.Scheduler | None = None
-        self.jobs: dict[int, tuple[runners.Job, Record]] = {}
-        self.waiting: dict[str, Record] = {}
+        self.jobs: dict[int, tuple[runners.Job, RequestRecord]] = {}
+        self.waiting: dict[str, RequestRecord] = {}
         self.poll_at: float | None = None
 
 
-class World:
+class Simulation:
     """Runs one trace against one kind of scheduler."""
 
     def __init__(
         self,
         deployment: workloads.Deployment,
         requests: Sequence[workloads.Request],
-        make_scheduler: Callable[[str, int, "World"], scheduler.Scheduler],
+        make_scheduler: Callable[[str, int, "Simulation"], scheduler.Scheduler],
         lag: Lag,
         seed: int,
         routers: int = ROUTERS,
-        look_up: bool = False,
+        owner_lookup: bool = False,
     ):
-        self._look_up = look_up
+        self._owner_lookup = owner_lookup
         self.now = 0.0
         self.deployment = deployment
         self.lag = lag
         self.rng = random.Random(f"world/{seed}")
-        self.records = [Record(r) for r in requests]
+        self.records = [RequestRecord(r) for r in requests]
         self.runners = {r.endpoint.id: r for r in self._make_runners()}
         self.routers = [
             Router(i, f"dc{i % DATA_CENTRES}") for i in range(routers)
@@ -111,17 +111,17 @@
         self._seed = seed
         self._heap: list[tuple[float, int, Callable, tuple]] = []
         self._sequence = 0
-        self._fifo: dict[tuple[int, str], float] = {}
-        self._owner: dict[runners.Job, Record] = {}
-        self._announced = [r.endpoint for r in self.runners.values()]
+        self._last_feed_delivery: dict[tuple[int, str], float] = {}
+        self._records_by_job: dict[runners.Job, RequestRecord] = {}
+        self._announced_endpoints = [r.endpoint for r in self.runners.values()]
 
-    def after(
+    def call_later(
         self, delay_s: float, action: Callable[..., None], *args: object
     ) -> None:
         """Runs an action after a delay in seconds."""
-        self.at(self.now + delay_s, action, *args)
+        self.call_at(self.now + delay_s, action, *args)
 
-    def at(self, when: float, action: Callable[..., None], *args) -> None:
+    def call_at(self, when: float, action: Callable[..., None], *args) -> None:
         """Runs an action at a time in seconds."""
         self._sequence += 1
         heapq.heappush(self._heap, (when, self._sequence, action, args))
@@ -131,11 +131,13 @@
         for router in self.routers:
             self._start_router(router)
         for record in self.records:
-            self.at(record.request.at, self._arrive, record)
+            self.call_at(record.request.at, self._arrive, record)
         for i, runner in enumerate(self.runners.values()):
-            self.after(REPORT_S * i / RUNNERS, self._report, runner)
+            self.call_later(
+                REPORT_INTERVAL_S * i / RUNNERS, self._send_load_reports, runner
+            )
         if self.lag.base_s:
-            self.after(SNAPSHOT_CHECK_S, self._check_snapshots)
+            self.call_later(SNAPSHOT_CHECK_INTERVAL_S, self._check_snapshots)
         while self._heap and self._heap[0][0] <= until:
             self.now, _, action, args = heapq.heappop(self._heap)
             action(*args)
@@ -147,47 +149,57 @@
         runner = self.runners[name]
         for job in runner.crash():
             router = self.routers[job.router]
-            delay = self._distance(router, runner)
-            self.after(
-                delay, self._fail, job, models.RetryReason.CONNECTION_CLOSED
+            delay = self._network_delay(router, runner)
+            self.call_later(
+                delay,
+                self._fail_attempt,
+                job,
+                models.RetryReason.CONNECTION_CLOSED,
             )
         for router in self.routers:
-            self.after(FEED_LOST_S, self._feed_lost, router, name)
-        self.after(back_after_s, self._restart_runner, runner)
+            self.call_later(
+                FEED_LOSS_DETECTION_S, self._feed_lost, router, name
+            )
+        self.call_later(back_after_s, self._restart_runner, runner)
 
     def _restart_runner(self, runner: runners.Runner) -> None:
         runner.start(f"{runner.endpoint.incarnation}+")
-        self._announced = [r.endpoint for r in self.runners.values()]
+        self._announced_endpoints = [r.endpoint for r in self.runners.values()]
         for router in self.routers:
-            self.after(ANNOUNCE_S, self._announce, router, self._announced)
+            self.call_later(
+                ANNOUNCE_DELAY_S,
+                self._announce,
+                router,
+                self._announced_endpoints,
+            )
 
     def stop_router(self, number: int, back_after_s: float) -> None:
         """Stops a router; its requests fail and callers resubmit them."""
         router = self.routers[number]
         router.alive = False
-        router.life += 1
-        lost = list(router.waiting.values())
+        router.generation += 1
+        failed_records = list(router.waiting.values())
         for job, record in router.jobs.values():
             self.runners[job.attempt.endpoint.id].cancel(job)
             if record.first_at is None:
-                lost.append(record)
+                failed_records.append(record)
         router.jobs.clear()
         router.waiting.clear()
-        for record in lost:
+        for record in failed_records:
             record.resubmits += 1
-            self.after(RESUBMIT_S, self._arrive, record)
-        self.after(back_after_s, self._start_router, router)
+            self.call_later(RESUBMIT_DELAY_S, self._arrive, record)
+        self.call_later(back_after_s, self._start_router, router)
 
     def _start_router(self, router: Router) -> None:
         router.alive = True
         router.scheduler = self._make_scheduler(
             router.data_centre, self._seed * 1000 + router.number, self
         )
-        router.scheduler.set_endpoints(self._announced, self.now)
+        router.scheduler.set_endpoints(self._announced_endpoints, self.now)
         for name, runner in self.runners.items():
             if not runner.alive:
                 router.scheduler.endpoint_lost(name, self.now)
-        self._ask_snapshots(router)
+        self._request_snapshots(router)
 
     def _announce(
         self, router: Router, endpoints: Sequence[models.Endpoint]
@@ -201,20 +213,20 @@
 
     # Requests.
 
-    def _arrive(self, record: Record) -> None:
+    def _arrive(self, record: RequestRecord) -> None:
         alive = [r for r in self.routers if r.alive]
         if not alive:
-            self.after(RESUBMIT_S, self._arrive, record)
+            self.call_later(RESUBMIT_DELAY_S, self._arrive, record)
             return
         router = self.rng.choice(alive)
-        if self._look_up and self.rng.random() > 1 / len(self.routers):
+        if self._owner_lookup and self.rng.random() > 1 / len(self.routers):
             # The index part of this prefix is at another router.
             delay = 2 * self.deployment.one_way_s
-            self.after(delay, self._submit, router, record)
+            self.call_later(delay, self._submit, router, record)
         else:
             self._submit(router, record)
 
-    def _submit(self, router: Router, record: Record) -> None:
+    def _submit(self, router: Router, record: RequestRecord) -> None:
         if not router.alive:
             self._arrive(record)
             return
@@ -233,49 +245,51 @@
         self._handle(router, record, decision)
 
     def _handle(
-        self, router: Router, record: Record, decision: models.Decision
+        self, router: Router, record: RequestRecord, decision: models.Decision
     ) -> None:
         match decision:
             case models.Dispatch(attempt=attempt):
-                self._send(router, record, attempt)
+                self._send_attempt(router, record, attempt)
             case models.Wait():
                 router.waiting[record.request.id] = record
                 self._schedule_poll(router)
             case models.Refuse(reason=reason):
                 record.refused = reason.value
 
-    def _send(
-        self, router: Router, record: Record, attempt: models.Attempt
+    def _send_attempt(
+        self, router: Router, record: RequestRecord, attempt: models.Attempt
     ) -> None:
         job = runners.Job(attempt, router.number, record.request.out_tokens)
         router.jobs[attempt.number] = (job, record)
-        self._owner[job] = record
+        self._records_by_job[job] = record
         runner = self.runners[attempt.endpoint.id]
-        delay = self._distance(router, runner)
-        self.after(delay, self._deliver, router.life, job)
-        self.at(
+        delay = self._network_delay(router, runner)
+        self.call_later(delay, self._deliver_job, router.generation, job)
+        self.call_at(
             max(attempt.ticket.deadline, self.now),
             self._check_first_token,
             job,
         )
 
-    def _deliver(self, life: int, job: runners.Job) -> None:
+    def _deliver_job(self, generation: int, job: runners.Job) -> None:
         router = self.routers[job.router]
-        if router.life != life or job.cancelled:
+        if router.generation != generation or job.cancelled:
             return
         runner = self.runners[job.attempt.endpoint.id]
-        known = job.attempt.endpoint.incarnation
-        delay = self._distance(router, runner)
+        expected_incarnation = job.attempt.endpoint.incarnation
+        delay = self._network_delay(router, runner)
         if not runner.alive:
             reason = models.RetryReason.CONNECT_REFUSED
-            self.after(delay, self._fail, job, reason)
-        elif runner.endpoint.incarnation != known:
+            self.call_later(delay, self._fail_attempt, job, reason)
+        elif runner.endpoint.incarnation != expected_incarnation:
             reason = models.RetryReason.WRONG_INCARNATION
-            self.after(delay, self._fail, job, reason)
+            self.call_later(delay, self._fail_attempt, job, reason)
         else:
             runner.accept(job)
 
-    def _fail(self, job: runners.Job, reason: models.RetryReason) -> None:
+    def _fail_attempt(
+        self, job: runners.Job, reason: models.RetryReason
+    ) -> None:
         router = self.routers[job.router]
         entry = router.jobs.pop(job.attempt.number, None)
         if entry is None or entry[0] is not job:
@@ -293,7 +307,7 @@
         self._handle(router, record, decision)
 
     def _check_first_token(self, job: runners.Job) -> None:
-        record = self._owner.get(job)
+        record = self._records_by_job.get(job)
         if record is None or record.first_at is not None or job.cancelled:
             return
         router = self.routers[job.router]
@@ -315,9 +329,9 @@
         wake = router.scheduler.next_wake(self.now)
         if wake is not None and router.poll_at is None:
             router.poll_at = wake
-            self.at(wake, self._poll, router, router.life)
+            self.call_at(wake, self._poll, router, router.generation)
 
-    def _poll(self, router: Router, life: int) -> None:
+    def _poll(self, router: Router, generation: int) -> None:
         router.poll_at = None
         if not router.alive:
             return
@@ -330,13 +344,13 @@
 
     def job_first_token(self, runner: runners.Runner, job: runners.Job) -> None:
         """Sends the first token to the router."""
-        delay = self._distance(self.routers[job.router], runner)
-        self.after(delay, self._first_token, job)
+        delay = self._network_delay(self.routers[job.router], runner)
+        self.call_later(delay, self._first_token, job)
 
     def job_finished(self, runner: runners.Runner, job: runners.Job) -> None:
         """Sends the end of the answer to the router."""
-        delay = self._distance(self.routers[job.router], runner)
-        self.after(delay, self._finished, job)
+        delay = self._network_delay(self.routers[job.router], runner)
+        self.call_later(delay, self._finished, job)
 
     def _first_token(self, job: runners.Job) -> None:
         router = self.routers[job.router]
@@ -350,7 +364,7 @@
     def _finished(self, job: runners.Job) -> None:
         router = self.routers[job.router]
         entry = router.jobs.get(job.attempt.number)
-        self._owner.pop(job, None)
+        self._records_by_job.pop(job, None)
         if entry is None or entry[0] is not job:
             return
         del router.jobs[job.attempt.number]
@@ -367,21 +381,23 @@
         blocks: tuple[int, ...],
     ) -> None:
         """Sends an event to every router, late, or not at all."""
-        runner.events += 1
+        runner.event_count += 1
         event = models.CacheEvent(
             runner.endpoint.id,
             runner.endpoint.incarnation,
-            runner.events,
+            runner.event_count,
             change,
             blocks,
         )
         for router in self.routers:
             if self.lag.loss and self.rng.random() < self.lag.loss:
                 continue
-            when = self._feed_time(router, runner)
-            self.at(when, self._event, router, event)
+            when = self._feed_delivery_time(router, runner)
+            self.call_at(when, self._deliver_cache_event, router, event)
 
-    def _event(self, router: Router, event: models.CacheEvent) -> None:
+    def _deliver_cache_event(
+        self, router: Router, event: models.CacheEvent
+    ) -> None:
         if router.alive:
             router.scheduler.cache_event(event, self.now)
 
@@ -389,66 +405,75 @@
         """Reports at once in a world without lag."""
         if not self.lag.base_s:
             for router in self.routers:
-                self._load(router, runner.report(router.number))
+                self._deliver_load_report(router, runner.report(router.number))
 
-    def _report(self, runner: runners.Runner) -> None:
+    def _send_load_reports(self, runner: runners.Runner) -> None:
         if runner.alive:
             for router in self.routers:
-                delay = self._delay()
+                delay = self._feed_delay()
                 report = runner.report(router.number)
-                self.after(delay, self._load, router, report)
-        self.after(REPORT_S, self._report, runner)
+                self.call_later(
+                    delay, self._deliver_load_report, router, report
+                )
+        self.call_later(REPORT_INTERVAL_S, self._send_load_reports, runner)
 
-    def _load(self, router: Router, report: models.LoadReport) -> None:
+    def _deliver_load_report(
+        self, router: Router, report: models.LoadReport
+    ) -> None:
         if router.alive and self.runners[report.endpoint_id].alive:
             router.scheduler.report_load(report, self.now)
 
-    def _ask_snapshots(self, router: Router) -> None:
+    def _request_snapshots(self, router: Router) -> None:
         for name in router.scheduler.take_snapshot_requests():
             runner = self.runners[name]
-            delay = self._distance(router, runner)
-            self.after(delay, self._snapshot, router, runner)
+            delay = self._network_delay(router, runner)
+            self.call_later(delay, self._send_snapshot, router, runner)
 
     def _check_snapshots(self) -> None:
         for router in self.routers:
             if router.alive:
-                self._ask_snapshots(router)
-        self.after(SNAPSHOT_CHECK_S, self._check_snapshots)
+                self._request_snapshots(router)
+        self.call_later(SNAPSHOT_CHECK_INTERVAL_S, self._check_snapshots)
 
-    def _snapshot(self, router: Router, runner: runners.Runner) -> None:
+    def _send_snapshot(self, router: Router, runner: runners.Runner) -> None:
         if not runner.alive:
             return
         snapshot = models.CacheSnapshot(
             runner.endpoint.id,
             runner.endpoint.incarnation,
-            runner.events,
+            runner.event_count,
             tuple(runner.cache),
         )
-        delay = SNAPSHOT_S + self._distance(router, runner)
-        self.after(delay, self._take_snapshot, router, snapshot)
+        delay = SNAPSHOT_TIME_S + self._network_delay(router, runner)
+        self.call_later(delay, self._deliver_snapshot, router, snapshot)
 
-    def _take_snapshot(
+    def _deliver_snapshot(
         self, router: Router, snapshot: models.CacheSnapshot
     ) -> None:
         if router.alive:
             router.scheduler.cache_snapshot(snapshot, self.now)
 
-    def _delay(self) -> float:
+    def _feed_delay(self) -> float:
         if not self.lag.base_s:
             return 0.0
         return self.lag.base_s + self.rng.expovariate(1 / self.lag.jitter_s)
 
-    def _feed_time(self, router: Router, runner: runners.Runner) -> float:
+    def _feed_delivery_time(
+        self, router: Router, runner: runners.Runner
+    ) -> float:
         """Arrival of the next event; a feed keeps its order."""
         key = (router.number, runner.endpoint.id)
-        when = max(self._fifo.get(key, 0.0), self.now + self._delay())
-        self._fifo[key] = when
+        when = max(
+            self._last_feed_delivery.get(key, 0.0),
+            self.now + self._feed_delay(),
+        )
+        self._last_feed_delivery[key] = when
         return when
 
-    def _distance(self, router: Router, runner: runners.Runner) -> float:
-        near = router.data_centre == runner.endpoint.data_centre
-        if near or not self.lag.base_s:
-            return SAME_CENTRE_S
+    def _network_delay(self, router: Router, runner: runners.Runner) -> float:
+        same_data_centre = router.data_centre == runner.endpoint.data_centre
+        if same_data_centre or not self.lag.base_s:
+            return SAME_DATA_CENTRE_DELAY_S
         return self.deployment.one_way_s
 
     def _make_runners(self) -> list[runners.Runner]:
--- a/features/replication_faults.py
+++ b/features/replication_faults.py
@@ -79,7 +79,7 @@
 
 def isolate_follower_repeatedly(group: CheckedGroup) -> None:
     """Isolates and reconnects a follower five times."""
-    _, follower, _ = group.elected()
+    _, follower, _ = group.wait_for_leader()
     for _ in range(5):
         group.isolate(follower)
         group.run(3.0)
@@ -89,15 +89,15 @@
 
 def cut_leader_follower_link(group: CheckedGroup) -> None:
     """Cuts only the link between the leader and one follower."""
-    leader, follower, _ = group.elected()
-    group.sever(leader, follower)
+    leader, follower, _ = group.wait_for_leader()
+    group.block_link(leader, follower)
     group.run(4.0)
 
 
 def restart_voter_during_lease(group: CheckedGroup) -> None:
     """Restarts the voter on which the leader's lease depends."""
-    leader, follower, voter = group.elected()
-    group.sever(leader, follower)
+    leader, follower, voter = group.wait_for_leader()
+    group.block_link(leader, follower)
     group.run(2.0)
     group.isolate(leader)
     group.crash(voter)
@@ -107,7 +107,7 @@
 
 def restart_all_but_lease_holder(group: CheckedGroup) -> None:
     """Restarts all voters except the lease holder."""
-    leader, *others = group.elected()
+    leader, *others = group.wait_for_leader()
     group.isolate(leader)
     for name in others:
         group.crash(name)
@@ -118,7 +118,7 @@
 
 def rejoin_with_partial_log(group: CheckedGroup) -> None:
     """Lets a member that lost its disk catch up on only part of the log."""
-    leader, replaced, lagging = group.elected()
+    leader, replaced, lagging = group.wait_for_leader()
     group.isolate(lagging)
     group.propose(b"first")
     group.propose(LARGE_DATA)
@@ -131,7 +131,7 @@
     # The lagging member's vote elects the old leader, but the member receives
     # neither of the last two entries.
     group.run_until(lambda: group.nodes[leader].replica.leader_since, 10.0)
-    group.sever(leader, lagging)
+    group.block_link(leader, lagging)
     for _ in range(40):
         if not group.nodes[replaced].replica.blank:
             break
@@ -142,7 +142,7 @@
 
 def lose_second_disk(group: CheckedGroup) -> None:
     """Loses a second disk as soon as the first member is a voter again."""
-    leader, replaced, _ = group.elected()
+    leader, replaced, _ = group.wait_for_leader()
     group.propose(b"kept")
     group.run(0.3)
     group.lose_disk(replaced)
@@ -151,7 +151,7 @@
     for step in range(400):
         if step == 160:
             group.heal()
-        if group.repaired():
+        if group.membership_repaired():
             break
         group.step()
     group.lose_disk(leader)
@@ -161,7 +161,7 @@
 
 def crash_between_reply_and_sync(group: CheckedGroup) -> None:
     """Crashes a follower after its reply and before its sync."""
-    leader, acknowledging, lagging = group.elected()
+    leader, acknowledging, lagging = group.wait_for_leader()
     group.isolate(lagging)
     group.propose(b"kept")
     group.step()
@@ -260,7 +260,7 @@
         case 4:
             group.isolate(name)
         case 5:
-            group.sever(*rng.sample(list(group.nodes), 2))
+            group.block_link(*rng.sample(list(group.nodes), 2))
         case 6 | 11:
             group.heal()
         case 12:
@@ -269,11 +269,11 @@
         case 7:
             group.freeze(name, rng.uniform(0.1, 2.0))
         case 8:
-            group.cut.add(tuple(rng.sample(list(group.nodes), 2)))
+            group.blocked_links.add(tuple(rng.sample(list(group.nodes), 2)))
         case 9:
             # The design tolerates one lost disk at a time. A member that is
             # not a voter yet may lose its disk again.
-            if group.repaired() or not group.counts(name):
+            if group.membership_repaired() or not group.may_be_voter(name):
                 group.lose_disk(name)
 
 
@@ -284,7 +284,7 @@
     group.loss = rng.choice((0.0, 0.05, 0.3))
     group.duplication = rng.choice((0.0, 0.1))
     group.delay = (0.001, rng.choice((0.005, 0.05, 0.4)))
-    group.compact_each = rng.choice((0, 3, 12))
+    group.compact_interval = rng.choice((0, 3, 12))
     # Only in an idle group can a reconnected member still win votes.
     rate = rng.choice((0.0, 0.02, 0.25))
     pause_s = rng.choice((0.2, 0.6, 1.5))
@@ -323,7 +323,9 @@
     for node in group.nodes.values():
         node.frozen_until = 0.0
         node.crash_before_save = False
-    group.run_until(lambda: group.lease_holder() and group.repaired(), 12.0)
+    group.run_until(
+        lambda: group.lease_holder() and group.membership_repaired(), 12.0
+    )
     index = group.propose(b"last")
     group.run_until(
         lambda: all(n.applied >= index for n in group.nodes.values()), 3.0
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -391,9 +391,10 @@
 @then('two bench runs of "{deployment}" in scenario "{name}" agree')
 def bench_runs_agree(context, deployment, name):
     scenario = {s.name: s for s in scenarios.SCENARIOS}[name]
-    case = scenarios.Case(deployment, name, variants.OURS.name, 7)
+    case = scenarios.Case(deployment, name, variants.PRODUCTION.name, 7)
     first, second = (
-        scenarios.run_case(case, variants.OURS, scenario) for _ in range(2)
+        scenarios.run_case(case, variants.PRODUCTION, scenario)
+        for _ in range(2)
     )
     assert first == second
 
--- a/features/steps/replication_steps.py
+++ b/features/steps/replication_steps.py
@@ -29,7 +29,7 @@
 @given("5 replicas")
 def five_replicas(context):
     context.group = CheckedGroup("abcde", seed=1)
-    context.group.elected()
+    context.group.wait_for_leader()
 
 
 @when("all replicas crash and start again within {spread:f} s")
@@ -41,7 +41,7 @@
     "all replicas but the leading one crash and start again within {spread:f} s"
 )
 def restart_all_but_leader(context, spread):
-    context.leader, *others = context.group.elected()
+    context.leader, *others = context.group.wait_for_leader()
     # The isolated leader continues to rely on its lease.
     context.group.isolate(context.leader)
     restart(context, others, spread)
@@ -75,8 +75,8 @@
 @given("3 replicas that compact every {count:d} log entries")
 def compacting_replicas(context, count):
     context.group = CheckedGroup(seed=1)
-    context.group.compact_each = count
-    context.group.elected()
+    context.group.compact_interval = count
+    context.group.wait_for_leader()
 
 
 @given(
@@ -84,7 +84,7 @@
     " duplicated"
 )
 def set_message_loss(context, loss, duplicated):
-    context.group.measures = True
+    context.group.record_message_sizes = True
     context.group.loss, context.group.duplication = loss / 100, duplicated / 100
 
 
@@ -117,7 +117,7 @@
 @when("the {role} replica {fault}")
 def inject_fault(context, role, fault):
     group = context.group
-    leader, follower, _ = group.elected()
+    leader, follower, _ = group.wait_for_leader()
     name = leader if role == "leading" else follower
     context.leader, node = leader, group.nodes[name]
     match fault:
@@ -156,7 +156,7 @@
 @when("the replicas' network heals")
 def heal_network(context):
     context.group.heal()
-    context.group.compact_each = 0
+    context.group.compact_interval = 0
 
 
 def wait_for_other(group, leader, limit):
@@ -180,7 +180,7 @@
     times = []
     for seed in range(runs):
         group = CheckedGroup(seed=seed)
-        leader = group.elected()[0]
+        leader = group.wait_for_leader()[0]
         group.crash(leader)
         times.append(wait_for_other(group, leader, 10.0))
     assert sum(t <= limit for t in times) >= wanted, sorted(times)[-10:]
@@ -205,12 +205,12 @@
 )
 def all_voters(context, count, limit):
     assert len(context.group.nodes) == count
-    context.group.run_until(context.group.repaired, limit)
+    context.group.run_until(context.group.membership_repaired, limit)
 
 
 @when("a process with another identity uses the name of a live follower")
 def impersonate_follower(context):
-    leader, follower, _ = context.group.elected()
+    leader, follower, _ = context.group.wait_for_leader()
     context.replica = context.group.nodes[leader].replica
     context.members = context.replica.members
     context.replica.note_peer(follower, "0" * 16, "127.0.0.1", 9)
@@ -232,7 +232,7 @@
 
 @then("a following replica refuses proposals and names the leading one")
 def follower_refuses(context):
-    leader, follower, _ = context.group.elected()
+    leader, follower, _ = context.group.wait_for_leader()
     try:
         context.group.nodes[follower].replica.propose(b"x", 200.0)
     except NotLeaderError as exc:
