--- a/bench/log_bench.py
+++ b/bench/log_bench.py
@@ -194,11 +194,11 @@
             updates = 640 if quick or size > 10_000 else 6400
             begin = time.process_time()
             run_load(group, 64, updates, True, size)
-            spent = time.process_time() - begin
+            cpu_time_s = time.process_time() - begin
             group.close()
         print(
-            f"{size:11}{spent / updates * 1e6:20.1f}"
-            f"{size * updates / spent / 1e6:6.1f}"
+            f"{size:11}{cpu_time_s / updates * 1e6:20.1f}"
+            f"{size * updates / cpu_time_s / 1e6:6.1f}"
         )
 
 
@@ -214,12 +214,12 @@
             for replica in group.replicas.values():
                 replica.tick(group.now)
             group.exchange()
-        spent = time.process_time() - begin
+        cpu_time_s = time.process_time() - begin
         sent = group.message_bytes
         group.close()
     print(
         f"\nidle group of three, {seconds} s of virtual time: together"
-        f" {spent / seconds:.2%} of a core, {sent / seconds:.0f} bytes/s"
+        f" {cpu_time_s / seconds:.2%} of a core, {sent / seconds:.0f} bytes/s"
     )
 
 
@@ -332,9 +332,9 @@
     for entry in restored.entries:
         if entry.kind is EntryKind.DATA:
             state.apply(entry.data)
-    spent = time.perf_counter() - begin
+    elapsed_s = time.perf_counter() - begin
     journal.close()
-    return spent
+    return elapsed_s
 
 
 def bench_start_up(folder: str, quick: bool) -> None:
@@ -353,10 +353,10 @@
                         (JournalFiles(directory).folder / n).stat().st_size
                         for n in JournalFiles(directory).names()
                     )
-                    spent = statistics.median(
+                    elapsed_s = statistics.median(
                         start_member(directory) for _ in range(5)
                     )
-                row += f"{spent * 1e3:15.1f}{size / 1024:9.0f}"
+                row += f"{elapsed_s * 1e3:15.1f}{size / 1024:9.0f}"
             print(row)
 
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -27,12 +27,17 @@
 
 def _table(results: Sequence[scenarios.CaseResult]) -> Table:
     return {
-        (f.case.deployment, f.case.scenario, f.case.variant): f for f in results
+        (
+            result.case.deployment,
+            result.case.scenario,
+            result.case.variant,
+        ): result
+        for result in results
     }
 
 
-def _guest_p99(results: scenarios.CaseResult) -> float:
-    return results.quantiles["guest"][P99_INDEX]
+def _guest_p99(result: scenarios.CaseResult) -> float:
+    return result.quantiles["guest"][P99_INDEX]
 
 
 def markdown_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
@@ -49,7 +54,7 @@
 def target_table(results: Sequence[scenarios.CaseResult]) -> str:
     """Formats each target and its result."""
     table = _table(results)
-    names = list(dict.fromkeys(f.case.scenario for f in results))
+    names = list(dict.fromkeys(result.case.scenario for result in results))
     rows = []
     for name in names:
         rows += _bindery_targets(table, name)
@@ -148,9 +153,9 @@
     parts = []
     for deployment in ("huts", "bindery"):
         rows = [
-            _comparison_row(f)
-            for f in results
-            if f.case.deployment == deployment
+            _comparison_row(result)
+            for result in results
+            if result.case.deployment == deployment
         ]
         header = (
             *("scenario", "variant", "hit", "wasted Mtok", "needed Mtok"),
@@ -165,25 +170,28 @@
     return "\n".join(parts)
 
 
-def _comparison_row(f: scenarios.CaseResult) -> list[str]:
+def _comparison_row(result: scenarios.CaseResult) -> list[str]:
     classes = [
-        "/".join(f"{q:.2f}" for q in f.quantiles[name])
-        if name in f.quantiles
+        "/".join(f"{q:.2f}" for q in result.quantiles[name])
+        if name in result.quantiles
         else "-"
         for name in ("availability", "guest", "interactive", "batch")
     ]
-    refused = ", ".join(f"{k} {v}" for k, v in f.refusals.items())
-    if f.recovery_s is None:
+    refused = ", ".join(f"{k} {v}" for k, v in result.refusals.items())
+    if result.recovery_s is None:
         recovery = "-"
-    elif math.isinf(f.recovery_s):
+    elif math.isinf(result.recovery_s):
         recovery = "never"
     else:
-        recovery = f"{f.recovery_s:.0f}"
+        recovery = f"{result.recovery_s:.0f}"
     return [
-        *(f.case.scenario, f.case.variant, f"{f.hit_rate:.4f}"),
-        *(f"{f.wasted_tokens / 1e6:.2f}", f"{f.needed_tokens / 1e6:.2f}"),
+        *(result.case.scenario, result.case.variant, f"{result.hit_rate:.4f}"),
+        *(
+            f"{result.wasted_tokens / 1e6:.2f}",
+            f"{result.needed_tokens / 1e6:.2f}",
+        ),
         *classes,
-        *(refused or "0", str(f.retries), str(f.resubmits), recovery),
+        *(refused or "0", str(result.retries), str(result.resubmits), recovery),
     ]
 
 
@@ -193,19 +201,22 @@
 ) -> str:
     """Formats each ablation below the full scheduler."""
     production = {
-        (f.case.deployment, f.case.scenario): f
-        for f in compared
-        if f.case.variant == PRODUCTION
+        (result.case.deployment, result.case.scenario): result
+        for result in compared
+        if result.case.variant == PRODUCTION
     }
-    keys = dict.fromkeys((f.case.deployment, f.case.scenario) for f in ablated)
+    keys = dict.fromkeys(
+        (result.case.deployment, result.case.scenario) for result in ablated
+    )
     rows = []
     for deployment, scenario in keys:
         group = [production[deployment, scenario]] + [
-            f
-            for f in ablated
-            if (f.case.deployment, f.case.scenario) == (deployment, scenario)
+            result
+            for result in ablated
+            if (result.case.deployment, result.case.scenario)
+            == (deployment, scenario)
         ]
-        rows += [_ablation_row(f) for f in group]
+        rows += [_ablation_row(result) for result in group]
     header = (
         *("deployment", "scenario", "variant", "hit", "wasted Mtok"),
         *("guest p99 s", "interactive p99 s", "batch p99 s"),
@@ -214,27 +225,31 @@
     return "### Ways and ablations\n\n" + markdown_table(header, rows)
 
 
-def _ablation_row(f: scenarios.CaseResult) -> list[str]:
+def _ablation_row(result: scenarios.CaseResult) -> list[str]:
     classes = [
-        f"{f.quantiles[name][P99_INDEX]:.2f}" if name in f.quantiles else "-"
+        f"{result.quantiles[name][P99_INDEX]:.2f}"
+        if name in result.quantiles
+        else "-"
         for name in ("guest", "interactive", "batch")
     ]
     return [
-        *(f.case.deployment, f.case.scenario, f.case.variant),
-        *(f"{f.hit_rate:.4f}", f"{f.wasted_tokens / 1e6:.2f}"),
+        *(result.case.deployment, result.case.scenario, result.case.variant),
+        *(f"{result.hit_rate:.4f}", f"{result.wasted_tokens / 1e6:.2f}"),
         *classes,
-        *(str(sum(f.refusals.values())), str(f.retries)),
+        *(str(sum(result.refusals.values())), str(result.retries)),
     ]
 
 
 def plot(results: Sequence[scenarios.CaseResult], folder: pathlib.Path) -> None:
     """Plots the main measure of each deployment as a bar chart."""
     table = _table(results)
-    names = list(dict.fromkeys(f.case.scenario for f in results))
-    variant_names = list(dict.fromkeys(f.case.variant for f in results))
+    names = list(dict.fromkeys(result.case.scenario for result in results))
+    variant_names = list(
+        dict.fromkeys(result.case.variant for result in results)
+    )
     measures = (
         ("huts", "guest p99 time to first token, s", _guest_p99),
-        ("bindery", "prefix hit rate", lambda f: f.hit_rate),
+        ("bindery", "prefix hit rate", lambda result: result.hit_rate),
     )
     for deployment, label, measure in measures:
         figure, axes = plt.subplots(figsize=(11, 4))
