--- a/bench/log_bench.py
+++ b/bench/log_bench.py
@@ -1,9 +1,9 @@
 """Measures the replicated log and its journal; prints tables.
 
-Three members run in this process. Messages pass through the codec, the files
+Three members run in this process. Messages are encoded and decoded, the files
 are real and each save waits for the disk. The followers save in two threads,
-as they would on two instances; everything else runs on one thread, so the
-figures are lower than those of three processes.
+in parallel as on two instances; everything else runs on one thread, so the
+throughput is lower than that of three processes.
 
 Usage: PYTHONPATH=. python bench/log_bench.py [--folder FOLDER] [--quick]
 """
@@ -34,21 +34,21 @@
 )
 from knapweedarch.state import COMMANDS, ControlState, PutRules, Reserve
 
-NAMES = ("a", "b", "c")
+MEMBER_NAMES = ("a", "b", "c")
 UPDATE_BYTES = 200
 CHANGES_PER_SNAPSHOT = 1000
 RULE_FILE_BYTES = 2048
 
 
 class UnsyncedFiles(JournalFiles):
-    """Files without syncs, to measure the processor time alone."""
+    """Files that skip syncs, to measure the CPU time alone."""
 
     def sync(self, descriptor: int) -> None:
-        """Returns at once."""
+        """Does nothing."""
 
 
 class Group:
-    """Three members with their journals in one process."""
+    """Three members and their journals in one process."""
 
     def __init__(
         self, folder: str, files_class: type[JournalFiles] = JournalFiles
@@ -57,7 +57,7 @@
             name: open_journal(
                 f"{folder}/{name}", files_class(f"{folder}/{name}")
             )
-            for name in NAMES
+            for name in MEMBER_NAMES
         }
         members = tuple(
             Member(name, journal.identity, "127.0.0.1", 1, True)
@@ -74,8 +74,8 @@
         self._elect()
 
     def _elect(self) -> None:
-        # Virtual time passes until a leader is elected; then time stands
-        # still, so that no heartbeat and no election disturbs the figures.
+        # Virtual time stops once a leader is elected, so that neither
+        # heartbeats nor elections affect the measurements.
         self.now = 0.0
         while not any(r.leads_until(self.now) for r in self.replicas.values()):
             self.now += 0.02
@@ -91,8 +91,8 @@
         return output
 
     def exchange(self) -> list[Entry]:
-        """Passes messages until all is quiet; returns what was committed."""
-        committed, names = [], list(NAMES)
+        """Delivers messages until none is left; returns committed entries."""
+        committed, names = [], list(MEMBER_NAMES)
         while names:
             outputs = zip(names, self.pool.map(self._save, names), strict=True)
             inbox = []
@@ -120,8 +120,15 @@
 
 
 @attrs.frozen
-class Load:
-    """Result of a run with clients that each wait for their update."""
+class LoadResult:
+    """Result of a run in which each client waits for its update.
+
+    Attributes:
+        rate: Updates per second.
+        median_ms: Median latency.
+        p99_ms: 99th percentile of the latency.
+        syncs: Syncs per update.
+    """
 
     rate: float
     median_ms: float
@@ -131,8 +138,8 @@
 
 def run_load(
     group: Group, clients: int, updates: int, batching: bool, size: int
-) -> Load:
-    """Lets each of `clients` propose again once its update is committed."""
+) -> LoadResult:
+    """Runs clients that propose again once their update is committed."""
     begin = time.perf_counter()
     waiting = deque([begin] * clients)
     started: dict[int, float] = {}
@@ -148,7 +155,7 @@
             waiting.append(done)
     elapsed = time.perf_counter() - begin
     latencies.sort()
-    return Load(
+    return LoadResult(
         len(latencies) / elapsed,
         statistics.median(latencies) * 1e3,
         latencies[int(len(latencies) * 0.99)] * 1e3,
@@ -162,8 +169,8 @@
     print("batching  clients  updates/s  median ms  p99 ms  syncs/update")
     for batching in (False, True):
         for clients in (1, 16, 64, 256):
-            with tempfile.TemporaryDirectory(dir=folder) as place:
-                group = Group(place)
+            with tempfile.TemporaryDirectory(dir=folder) as directory:
+                group = Group(directory)
                 rounds = 2 if quick else 10
                 updates = max(rounds * clients, 100 if quick else 500)
                 if batching:
@@ -177,29 +184,29 @@
             )
 
 
-def bench_processor(folder: str, quick: bool) -> None:
-    """Prints processor time per committed entry, all three members."""
-    print("\nprocessor time of three members together, no syncs, batches of 64")
+def bench_cpu_time(folder: str, quick: bool) -> None:
+    """Prints the CPU time of all three members per committed entry."""
+    print("\nCPU time of three members together, no syncs, batches of 64")
     print("entry bytes  microseconds/entry  MB/s")
     for size in (100, 4096, 65536):
-        with tempfile.TemporaryDirectory(dir=folder) as place:
-            group = Group(place, UnsyncedFiles)
+        with tempfile.TemporaryDirectory(dir=folder) as directory:
+            group = Group(directory, UnsyncedFiles)
             updates = 640 if quick or size > 10_000 else 6400
             begin = time.process_time()
             run_load(group, 64, updates, True, size)
-            spent = time.process_time() - begin
+            cpu_time_s = time.process_time() - begin
             group.close()
         print(
-            f"{size:11}{spent / updates * 1e6:20.1f}"
-            f"{size * updates / spent / 1e6:6.1f}"
+            f"{size:11}{cpu_time_s / updates * 1e6:20.1f}"
+            f"{size * updates / cpu_time_s / 1e6:6.1f}"
         )
 
 
 def bench_idle(folder: str, quick: bool) -> None:
-    """Prints processor time and traffic of members without any changes."""
+    """Prints the CPU time and traffic of an idle group."""
     seconds = 10 if quick else 60
-    with tempfile.TemporaryDirectory(dir=folder) as place:
-        group = Group(place, UnsyncedFiles)
+    with tempfile.TemporaryDirectory(dir=folder) as directory:
+        group = Group(directory, UnsyncedFiles)
         group.message_bytes = 0
         begin = time.process_time()
         for _ in range(seconds * 20):
@@ -207,44 +214,46 @@
             for replica in group.replicas.values():
                 replica.tick(group.now)
             group.exchange()
-        spent = time.process_time() - begin
+        cpu_time_s = time.process_time() - begin
         sent = group.message_bytes
         group.close()
     print(
         f"\nidle group of three, {seconds} s of virtual time: together"
-        f" {spent / seconds:.2%} of a core, {sent / seconds:.0f} bytes/s"
+        f" {cpu_time_s / seconds:.2%} of a core, {sent / seconds:.0f} bytes/s"
     )
 
 
-def flap(replica_class: type[Replica], seed: int) -> tuple[int, float]:
-    """Cuts one follower off 15 times in 60 s of virtual time.
+def isolate_repeatedly(
+    replica_class: type[Replica], seed: int
+) -> tuple[int, float]:
+    """Isolates one follower 15 times in 60 s of virtual time.
 
     Returns:
-        Changes of the leader, and the share of time without a leader lease.
+        The number of elections, and the share of time without a leader lease.
     """
-    virtual = VirtualGroup(seed=seed, replica_class=replica_class)
-    _, follower, _ = virtual.elected()
-    before, steps, unled = virtual.elections, 0, 0
-    for cut_off in (True, False) * 15:
-        if cut_off:
-            virtual.isolate(follower)
+    group = VirtualGroup(seed=seed, replica_class=replica_class)
+    _, follower, _ = group.wait_for_leader()
+    before, steps, steps_without_lease = group.elections, 0, 0
+    for isolated in (True, False) * 15:
+        if isolated:
+            group.isolate(follower)
         else:
-            virtual.heal()
-        end = virtual.now + (3.0 if cut_off else 1.0)
-        while virtual.now < end:
-            virtual.step()
+            group.heal()
+        end = group.now + (3.0 if isolated else 1.0)
+        while group.now < end:
+            group.step()
             steps += 1
-            unled += virtual.lease_holder() is None
-    return virtual.elections - before, unled / steps
+            steps_without_lease += group.lease_holder() is None
+    return group.elections - before, steps_without_lease / steps
 
 
 def bench_flapping(quick: bool) -> None:
-    """Prints elections with a flapping member, with and without pre-vote."""
-    print("\none follower cut off for 3 s and back for 1 s, 15 times")
+    """Prints elections caused by a flapping member, by use of pre-vote."""
+    print("\none follower isolated for 3 s and reconnected for 1 s, 15 times")
     print("pre-vote  elections (mean, max)  time without leader lease")
     seeds = range(3 if quick else 20)
     for replica_class in (WithoutPreVote, Replica):
-        runs = [flap(replica_class, seed) for seed in seeds]
+        runs = [isolate_repeatedly(replica_class, seed) for seed in seeds]
         elections = [r[0] for r in runs]
         name = "without" if replica_class is WithoutPreVote else "with"
         print(
@@ -254,31 +263,32 @@
 
 
 def bench_failover(quick: bool) -> None:
-    """Prints how long the group has no leader lease after a crash."""
+    """Prints the time without a leader lease after a leader crash."""
     seeds = range(50 if quick else 1000)
     times = []
     for seed in seeds:
-        virtual = VirtualGroup(seed=seed)
-        virtual.step_s = 0.005
-        virtual.crash(virtual.elected()[0])
-        # The lease of a crashed member is void at once.
-        times.append(virtual.run_until(virtual.lease_holder, 10.0))
+        group = VirtualGroup(seed=seed)
+        group.step_s = 0.005
+        group.crash(group.wait_for_leader()[0])
+        # A crashed member no longer counts as the lease holder, although its
+        # lease has not expired.
+        times.append(group.run_until(group.lease_holder, 10.0))
     times.sort()
     print(f"\ncrash of the leader, {len(times)} seeds, until the next lease")
     print(
         f"median {statistics.median(times):.2f} s,"
-        f" 95 in 100 {times[int(len(times) * 0.95)]:.2f} s,"
-        f" longest {times[-1]:.2f} s"
+        f" p95 {times[int(len(times) * 0.95)]:.2f} s,"
+        f" maximum {times[-1]:.2f} s"
     )
 
 
 def reservation(number: int) -> Reserve:
-    """Builds a change that adds to the state."""
+    """Builds a change that adds an entry to the state."""
     return Reserve(f"{number:064x}", bytes(32), "router", 0.0)
 
 
 def rule_file(number: int) -> PutRules:
-    """Builds a change that replaces the one before."""
+    """Builds a change that replaces the previous one in the state."""
     return PutRules(f"{number:032x}", number - 1, "x" * RULE_FILE_BYTES)
 
 
@@ -288,7 +298,7 @@
     snapshots: bool,
     build: Callable[[int], Reserve | PutRules],
 ) -> None:
-    """Writes a journal of changes, as a member would."""
+    """Writes a journal of changes as a member does, without syncs."""
     journal = open_journal(folder, UnsyncedFiles(folder))
     journal.form((Member("a", journal.identity, "127.0.0.1", 1, True),))
     replica = create_replica(ReplicaConfig("a"), journal.restored, 0)
@@ -311,7 +321,7 @@
 
 
 def start_member(folder: str) -> float:
-    """Returns the seconds until a member has all it saved in memory."""
+    """Returns the seconds that a member takes to restore its state."""
     begin = time.perf_counter()
     journal = open_journal(folder)
     restored = journal.restored
@@ -322,14 +332,14 @@
     for entry in restored.entries:
         if entry.kind is EntryKind.DATA:
             state.apply(entry.data)
-    spent = time.perf_counter() - begin
+    elapsed_s = time.perf_counter() - begin
     journal.close()
-    return spent
+    return elapsed_s
 
 
-def bench_start(folder: str, quick: bool) -> None:
-    """Prints start-up time against the number of changes."""
-    print(f"\nstart of a member, snapshot each {CHANGES_PER_SNAPSHOT} changes")
+def bench_start_up(folder: str, quick: bool) -> None:
+    """Prints start-up time and journal size by the number of changes."""
+    print(f"\nstart of a member, snapshot every {CHANGES_PER_SNAPSHOT} changes")
     print(
         "changes               without snapshot ms  KiB  with snapshot ms  KiB"
     )
@@ -337,16 +347,16 @@
         for changes in (100, 1000) if quick else (100, 1000, 10_000):
             row = f"{changes:6} {build.__name__:12}"
             for snapshots in (False, True):
-                with tempfile.TemporaryDirectory(dir=folder) as place:
-                    fill_journal(place, changes, snapshots, build)
+                with tempfile.TemporaryDirectory(dir=folder) as directory:
+                    fill_journal(directory, changes, snapshots, build)
                     size = sum(
-                        (JournalFiles(place).folder / n).stat().st_size
-                        for n in JournalFiles(place).names()
+                        (JournalFiles(directory).folder / n).stat().st_size
+                        for n in JournalFiles(directory).names()
                     )
-                    spent = statistics.median(
-                        start_member(place) for _ in range(5)
+                    elapsed_s = statistics.median(
+                        start_member(directory) for _ in range(5)
                     )
-                row += f"{spent * 1e3:15.1f}{size / 1024:9.0f}"
+                row += f"{elapsed_s * 1e3:15.1f}{size / 1024:9.0f}"
             print(row)
 
 
@@ -354,15 +364,16 @@
     """Runs all measurements.
 
     Args:
-        folder: Folder on the disk to measure; the temporary folder if empty.
-        quick: Whether to take fewer samples, to try the script.
+        folder: Folder on the disk to measure; if empty, the system's
+            temporary folder.
+        quick: Whether to take fewer samples, to test the script.
     """
     bench_updates(folder or None, quick)
-    bench_processor(folder or None, quick)
+    bench_cpu_time(folder or None, quick)
     bench_idle(folder or None, quick)
     bench_flapping(quick)
     bench_failover(quick)
-    bench_start(folder or None, quick)
+    bench_start_up(folder or None, quick)
 
 
 if __name__ == "__main__":
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,8 @@
-"""Measures how the cost of decisions grows, for capacity planning.
+"""Measures how the cost of scheduling grows, for capacity planning.
 
 `python -m bench.slopes` prints the table and writes it into
-docs/BENCHMARKS.md. Times are CPU time of one thread and differ from run to
-run; every figure is the least of several repeats.
+docs/BENCHMARKS.md. Times are CPU time of one thread and vary between runs;
+each is the minimum of several repetitions.
 """
 
 import argparse
@@ -20,12 +20,15 @@
 HASH_MEGABYTES = (1, 4, 16)
 WINDOWS_S = (0.1, 1.0, 5.0)
 REPEATS = 5
-CHAIN = 40
+CHAIN_BLOCKS = 40
 REPLICAS = 2
 
 
-def least_us(action: Callable[[], int]) -> float:
-    """CPU microseconds per operation; the action returns their number."""
+def min_cpu_us(action: Callable[[], int]) -> float:
+    """Returns CPU microseconds per operation, the minimum of all repeats.
+
+    The action returns the number of operations.
+    """
     best = float("inf")
     for _ in range(REPEATS):
         start = time.process_time_ns()
@@ -35,7 +38,7 @@
 
 
 def make_endpoints(count: int) -> list[models.Endpoint]:
-    """Runners of one model."""
+    """Creates runners of one model in three data centres."""
     return [
         models.Endpoint(
             f"r{i}",
@@ -55,14 +58,20 @@
 def filled_scheduler(
     endpoints: int, blocks: int
 ) -> tuple[scheduler.Scheduler, list[tuple[int, ...]]]:
-    """A scheduler that knows `blocks` blocks, each on `REPLICAS` runners."""
+    """Creates a scheduler whose index holds `blocks` blocks.
+
+    Each block is cached by `REPLICAS` runners.
+
+    Returns:
+        The scheduler, and the chains of the blocks.
+    """
     sched = scheduler.create_scheduler(scheduler.SchedulerConfig(), 1)
     sched.set_endpoints(make_endpoints(endpoints), 0.0)
     rng = random.Random(1)
     numbers = dict.fromkeys((f"r{i}" for i in range(endpoints)), 0)
     chains = []
-    for n in range(blocks // CHAIN):
-        chain = workloads.extend((), f"chain{n}", CHAIN)
+    for n in range(blocks // CHAIN_BLOCKS):
+        chain = workloads.extend_chain((), f"chain{n}", CHAIN_BLOCKS)
         chains.append(chain)
         for name in rng.sample(sorted(numbers), REPLICAS):
             numbers[name] += 1
@@ -79,7 +88,7 @@
 
 
 def submit_us(endpoints: int, blocks: int) -> float:
-    """CPU per submit of a prompt of `CHAIN` blocks."""
+    """Measures the CPU time to submit a prompt of `CHAIN_BLOCKS` blocks."""
     sched, chains = filled_scheduler(endpoints, blocks)
     count = 200 if endpoints < 600 else 60
     clock = [0.0]
@@ -95,12 +104,12 @@
                 sched.finished(decision.attempt, result, now)
         return count
 
-    return least_us(submit)
+    return min_cpu_us(submit)
 
 
 def _ticket(i: int, chains: list[tuple[int, ...]], now: float) -> models.Ticket:
     blocks = chains[i * 7 % len(chains)]
-    tokens = CHAIN * prefixes.BLOCK_TOKENS + 500
+    tokens = CHAIN_BLOCKS * prefixes.BLOCK_TOKENS + 500
     return models.Ticket(
         f"t{now}",
         "c0",
@@ -113,20 +122,22 @@
     )
 
 
-def entry_bytes(blocks: int, endpoints: int) -> float:
-    """Bytes per block in the index."""
+def index_entry_bytes(blocks: int, endpoints: int) -> float:
+    """Measures the memory per block in the index, in bytes."""
     numbers = random.Random(1)
     hashes = [numbers.getrandbits(64) for _ in range(blocks)]
     tracemalloc.start()
     cache = index.CacheIndex()
     for i in range(endpoints):
         cache.set_endpoint(f"r{i}", f"i{i}")
-    for n in range(0, blocks, CHAIN):
-        # Copied, so that the hashes count as part of the index.
-        chain = tuple(int(str(h)) for h in hashes[n : n + CHAIN])
+    for n in range(0, blocks, CHAIN_BLOCKS):
+        # New integers, so that the hashes count as memory of the index.
+        chain = tuple(int(str(h)) for h in hashes[n : n + CHAIN_BLOCKS])
         for copy in range(REPLICAS):
-            number = (n // CHAIN) // endpoints + 1
-            name = f"r{(n // CHAIN + copy * (endpoints // 2)) % endpoints}"
+            number = (n // CHAIN_BLOCKS) // endpoints + 1
+            name = (
+                f"r{(n // CHAIN_BLOCKS + copy * (endpoints // 2)) % endpoints}"
+            )
             cache.apply(_stored(name, number * REPLICAS + copy, chain))
             cache.pop_gaps()
     used, _ = tracemalloc.get_traced_memory()
@@ -135,10 +146,14 @@
 
 
 def event_us(blocks_per_event: int, size: int) -> float:
-    """CPU per cache event, alternately stored and evicted."""
+    """Measures the CPU time per cache event.
+
+    All chains are stored, then all are evicted.
+    """
     sched, _ = filled_scheduler(9, size)
     chains = [
-        workloads.extend((), f"new{i}", blocks_per_event) for i in range(500)
+        workloads.extend_chain((), f"new{i}", blocks_per_event)
+        for i in range(500)
     ]
     runner = models.Endpoint(
         "r99", "i99", "", models.EndpointKind.RUNNER, ("guide",)
@@ -156,11 +171,11 @@
                 )
         return 2 * len(chains)
 
-    return least_us(apply)
+    return min_cpu_us(apply)
 
 
 def report_us(endpoints: int) -> float:
-    """CPU per load report."""
+    """Measures the CPU time per load report."""
     sched, _ = filled_scheduler(endpoints, 1000)
     reports = [
         models.LoadReport(f"r{i}", f"i{i}", 5, 1, 9000, 10)
@@ -173,11 +188,11 @@
                 sched.report_load(item, 1.0)
         return 3000 // endpoints * endpoints
 
-    return least_us(apply)
+    return min_cpu_us(apply)
 
 
 def hash_us(megabytes: int) -> float:
-    """CPU per MiB of prompt hashed in steps."""
+    """Measures the CPU time per MiB of a prompt hashed in steps."""
     prompt = random.Random(1).randbytes(megabytes << 20)
 
     def apply() -> int:
@@ -186,63 +201,63 @@
             pass
         return megabytes
 
-    return least_us(apply)
+    return min_cpu_us(apply)
 
 
-class _RecordingWorld(world.World):
-    """Records every block change of every runner."""
+class _RecordingSimulation(world.Simulation):
+    """Simulation that records every cache change of every runner."""
 
     def cache_changed(self, runner, change, blocks) -> None:
-        """Records a change."""
+        """Records a change, then sends its event."""
         name = runner.endpoint.id
         self.changes += [(self.now, name, change, b) for b in blocks]
         super().cache_changed(runner, change, blocks)
 
 
-def recorded_world(deployment: workloads.Deployment) -> _RecordingWorld:
-    """Runs the steady bench and records the block changes."""
+def record_block_changes(
+    deployment: workloads.Deployment,
+) -> _RecordingSimulation:
+    """Runs the steady scenario and records the block changes."""
     requests = workloads.make_requests(
         deployment,
         1,
         deployment.steady,
         scenarios.DURATION_S,
         None,
-        scenarios.measured_load(deployment),
+        scenarios.load_measure(deployment),
     )
-    make = variants.maker(variants.OURS)
-    where = _RecordingWorld(deployment, requests, make, world.Lag(), 1)
-    where.changes = []
-    where.parents = {
+    make = variants.scheduler_factory(variants.PRODUCTION)
+    sim = _RecordingSimulation(deployment, requests, make, world.Lag(), 1)
+    sim.changes = []
+    sim.parents = {
         block: r.blocks[i - 1] if i else 0
         for r in requests
         for i, block in enumerate(r.blocks)
     }
-    where.run(scenarios.DURATION_S)
-    return where
+    sim.run(scenarios.DURATION_S)
+    return sim
 
 
-def events_per_run(where: _RecordingWorld, window_s: float) -> float:
-    """Block changes per chain run, when a runner sends once per window.
+def changes_per_chain_run(sim: _RecordingSimulation, window_s: float) -> float:
+    """Returns block changes per chain run if events are sent once per window.
 
     A chain run is a sequence of changes of one kind in which each block is
     the parent of the next.
     """
     groups: dict[tuple, set[int]] = {}
-    for at, name, change, block in where.changes:
+    for at, name, change, block in sim.changes:
         key = (int(at / window_s), name, change)
         groups.setdefault(key, set()).add(block)
     blocks = runs = 0
     for group in groups.values():
-        continued = {
-            where.parents[b] for b in group if where.parents[b] in group
-        }
+        continued = {sim.parents[b] for b in group if sim.parents[b] in group}
         blocks += len(group)
         runs += len(group) - len(continued)
     return blocks / runs
 
 
 def table() -> str:
-    """Measures everything."""
+    """Runs all measurements and formats their table."""
     rows = []
     for count in ENDPOINTS:
         us = submit_us(count, 100_000)
@@ -252,7 +267,7 @@
         rows.append(["submit", f"{size} blocks, 9 endpoints", f"{us:.0f} us"])
     for size in INDEX_SIZES:
         for count in (9, 600):
-            value = entry_bytes(size, count)
+            value = index_entry_bytes(size, count)
             label = f"{size} blocks, {count} endpoints"
             rows.append(["index entry", label, f"{value:.0f} B"])
     for size in INDEX_SIZES:
@@ -268,20 +283,20 @@
         us = hash_us(size)
         rows.append(["hashing", f"{size} MiB prompt", f"{us:.0f} us/MiB"])
     for deployment in workloads.DEPLOYMENTS.values():
-        where = recorded_world(deployment)
+        sim = record_block_changes(deployment)
         for window_s in WINDOWS_S:
             label = f"{deployment.name} steady, {window_s} s windows"
-            value = f"{events_per_run(where, window_s):.1f}"
+            value = f"{changes_per_chain_run(sim, window_s):.1f}"
             rows.append(["block changes per chain run", label, value])
-    return report.rows_of(("cost", "size", "measured"), rows)
+    return report.markdown_table(("cost", "size", "measured"), rows)
 
 
 def main() -> int:
-    """Prints the table; returns the exit code."""
+    """Prints the table and updates the page; returns the exit code."""
     argparse.ArgumentParser(description=__doc__).parse_args()
     text = table()
     print(text)
-    report.write_section(decisions.PAGE, "slopes", text)
+    report.write_section(decisions.BENCHMARKS_PAGE, "slopes", text)
     return 0
 
 
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -1,8 +1,8 @@
-"""Traffic of the two deployments.
+"""Generates the traffic of the two benchmark deployments.
 
-Both are made of nested prefixes: a system prompt, then a fleet or
-manuscript, then a conversation. The cache salt keeps customers apart, so
-every customer has its own chains.
+Prompts consist of nested prefixes: a system prompt, then a fleet or
+manuscript, then a conversation. The cache salt differs between customers, so
+every customer has its own chains of blocks.
 """
 
 import itertools
@@ -14,13 +14,13 @@
 
 from knapweedarch import models, prefixes
 
-# Share of the traffic of each of the eight customers; two are large.
+# Traffic share of each of the eight customers, two of which are large.
 CUSTOMER_SHARES = (0.3, 0.24, 0.12, 0.1, 0.08, 0.06, 0.05, 0.05)
 
-# Load grows over this time at the start of a run, as all caches are empty.
+# Duration of the load ramp at the start of a run, when all caches are empty.
 RAMP_S = 15.0
 
-# Time to the first token that each class accepts, in seconds.
+# Deadline of each class for the first token, in seconds.
 HUTS_DEADLINES_S = {
     models.Priority.AVAILABILITY: 1.5,
     models.Priority.GUEST: 4.0,
@@ -37,17 +37,17 @@
 
 @attrs.frozen(eq=False)
 class Request:
-    """One request of the trace.
+    """A request of a trace.
 
     Attributes:
-        id: Identity, unique in the trace.
-        at: Arrival in seconds.
+        id: Identifier, unique in the trace.
+        at: Arrival time in seconds.
         customer: Customer name.
-        priority: Class.
+        priority: Priority class.
         blocks: Hashes of the prompt's full blocks.
-        prompt_tokens: Length of the prompt.
-        out_tokens: Length of the answer.
-        deadline_s: Accepted time to the first token in seconds.
+        prompt_tokens: Length of the prompt in tokens.
+        out_tokens: Length of the answer in tokens.
+        deadline_s: Deadline for the first token, in seconds after arrival.
     """
 
     id: str
@@ -67,17 +67,19 @@
     Attributes:
         name: Name in reports.
         model: The model that the runners serve.
-        one_way_s: Delay between data centres in seconds.
-        slots: Places in the batch of a runner.
-        cache_blocks: Prefix cache of a runner.
-        service_s: Mean time of a request in the batch, for the estimates.
-        eviction_weight: Weight of evicted blocks in the cost.
-        deadlines_s: Accepted time to the first token by class.
-        generate: Makes the requests of a run.
-        steady: Load of the steady scenario, in parts of the ideal capacity
-            that `utilisation` measures against.
-        capacity: Highest load, in the same parts, at which the reference
-            answers 99 in 100 of each class in time; found in steps of 0.1.
+        one_way_s: One-way delay between data centres in seconds.
+        slots: Number of slots in a runner's batch.
+        cache_blocks: Size of a runner's prefix cache in blocks.
+        service_s: Mean time of a request in the batch, which the scheduler
+            uses in its estimates.
+        eviction_weight: Weight of evicted blocks in the placement cost.
+        deadlines_s: Deadline for the first token by class.
+        generate: Function that generates the requests of a run.
+        steady: Load of the steady scenario, as a fraction of the ideal
+            capacity that `utilisation` uses.
+        capacity: Highest load, as a fraction of the ideal capacity in steps
+            of 0.1, at which the reference answers 99 of 100 requests of each
+            class in time.
     """
 
     name: str
@@ -88,13 +90,15 @@
     service_s: float
     eviction_weight: float
     deadlines_s: dict[models.Priority, float]
-    generate: Callable[["Mix"], None]
+    generate: Callable[["TraceBuilder"], None]
     steady: float
     capacity: float
 
 
-def extend(parent: tuple[int, ...], label: str, count: int) -> tuple[int, ...]:
-    """Appends `count` chained blocks of the content `label`."""
+def extend_chain(
+    parent: tuple[int, ...], label: str, count: int
+) -> tuple[int, ...]:
+    """Appends `count` chained block hashes whose content is `label`."""
     chain = list(parent)
     for i in range(count):
         last = chain[-1] if chain else 0
@@ -102,8 +106,8 @@
     return tuple(chain)
 
 
-class Mix:
-    """Collects the requests of one run."""
+class TraceBuilder:
+    """Builds the trace of one run."""
 
     def __init__(
         self,
@@ -130,7 +134,10 @@
         tail_tokens: int,
         out_tokens: int,
     ) -> None:
-        """Adds a request if it arrives within the run."""
+        """Adds a request that arrives within the run.
+
+        During the ramp a request is dropped at random.
+        """
         if not 0 <= at < self.duration_s:
             return
         if at < RAMP_S and self.rng.random() > at / RAMP_S:
@@ -148,115 +155,131 @@
             )
         )
 
-    def customer(self) -> str:
-        """Draws a customer by share."""
+    def draw_customer(self) -> str:
+        """Chooses a customer at random, weighted by traffic share."""
         names = [f"c{i}" for i in range(len(CUSTOMER_SHARES))]
         return self.rng.choices(names, CUSTOMER_SHARES)[0]
 
     def arrivals(
         self, rate: float, start: float = 0.0, burst: float = 0.0
     ) -> Iterator[float]:
-        """Poisson arrivals; `burst` times more in 3 s of every 20 s."""
+        """Yields Poisson arrival times.
+
+        In 3 s of every 20 s the rate is higher by the factor `1 + burst`.
+        """
         now = start
-        most = rate * (1 + burst)
-        while most and now < self.duration_s:
-            now += self.rng.expovariate(most)
-            busy = now % 20.0 >= 17.0
-            if busy or self.rng.random() * (1 + burst) < 1:
+        peak_rate = rate * (1 + burst)
+        while peak_rate and now < self.duration_s:
+            now += self.rng.expovariate(peak_rate)
+            in_burst = now % 20.0 >= 17.0
+            if in_burst or self.rng.random() * (1 + burst) < 1:
                 yield now
 
-    def epoch(self, at: float) -> int:
-        """Number of the hot set: 0 before the shift, 1 after it."""
+    def hot_set(self, at: float) -> int:
+        """Returns the number of the hot set: 0 before the shift, then 1."""
         return int(self.shift_at is not None and at >= self.shift_at)
 
 
-def _conversation(
-    mix: Mix,
+def _add_conversation(
+    trace: TraceBuilder,
     at: float,
     customer: str,
     root: tuple[int, ...],
     label: str,
     turns: int,
 ) -> None:
-    """A guest's chat whose prompt grows with each turn."""
+    """Adds a guest's chat, whose prompt grows with each turn."""
     tokens = 300
     for _ in range(turns):
         full = tokens // prefixes.BLOCK_TOKENS
-        blocks = extend(root, label, full)
+        blocks = extend_chain(root, label, full)
         tail = tokens % prefixes.BLOCK_TOKENS
-        out = 60 + int(mix.rng.expovariate(1 / 60))
-        mix.add(at, customer, models.Priority.GUEST, blocks, tail, out)
-        tokens += out + 150 + int(mix.rng.expovariate(1 / 700))
-        at += 3.0 + mix.rng.expovariate(1 / 5.0)
+        out = 60 + int(trace.rng.expovariate(1 / 60))
+        trace.add(at, customer, models.Priority.GUEST, blocks, tail, out)
+        tokens += out + 150 + int(trace.rng.expovariate(1 / 700))
+        at += 3.0 + trace.rng.expovariate(1 / 5.0)
 
 
-def _turns(rng: random.Random) -> int:
+def _draw_turn_count(rng: random.Random) -> int:
     return 1 + min(9, int(rng.expovariate(1 / 3.0)))
 
 
-def huts_traffic(mix: Mix) -> None:
-    """Guests' chats and availability checks over overnight summaries."""
+def huts_traffic(trace: TraceBuilder) -> None:
+    """Generates guest chats, availability checks, interactive and batch work.
+
+    Batch requests are the overnight summaries.
+    """
     roots = {}
     for i in range(len(CUSTOMER_SHARES)):
-        system = extend((), f"huts-system/c{i}", 1)
-        roots[f"c{i}"] = extend(system, "fleet", 2)
-    for n, at in enumerate(mix.arrivals(5.0 * mix.scale, -30.0, burst=1.0)):
-        customer = mix.customer()
-        log = extend(roots[customer], f"weather{mix.epoch(at)}", 5)
-        _conversation(mix, at, customer, log, f"chat{n}", _turns(mix.rng))
-    for at in mix.arrivals(10.0 * mix.scale, burst=1.0):
-        customer = mix.customer()
+        system = extend_chain((), f"huts-system/c{i}", 1)
+        roots[f"c{i}"] = extend_chain(system, "fleet", 2)
+    for n, at in enumerate(trace.arrivals(5.0 * trace.scale, -30.0, burst=1.0)):
+        customer = trace.draw_customer()
+        log = extend_chain(roots[customer], f"weather{trace.hot_set(at)}", 5)
+        _add_conversation(
+            trace, at, customer, log, f"chat{n}", _draw_turn_count(trace.rng)
+        )
+    for at in trace.arrivals(10.0 * trace.scale, burst=1.0):
+        customer = trace.draw_customer()
         root = roots[customer]
-        mix.add(at, customer, models.Priority.AVAILABILITY, root, 400, 15)
-    for at in mix.arrivals(4.0 * mix.scale):
-        customer = mix.customer()
-        log = extend(roots[customer], f"weather{mix.epoch(at)}", 5)
-        mix.add(at, customer, models.Priority.INTERACTIVE, log, 900, 200)
-    for n, at in enumerate(mix.arrivals(0.7 * mix.scale, -5.0)):
-        customer = mix.customer()
-        size = mix.rng.randint(6, 16)
-        log = extend(roots[customer], f"trail{n}", size)
+        trace.add(at, customer, models.Priority.AVAILABILITY, root, 400, 15)
+    for at in trace.arrivals(4.0 * trace.scale):
+        customer = trace.draw_customer()
+        log = extend_chain(roots[customer], f"weather{trace.hot_set(at)}", 5)
+        trace.add(at, customer, models.Priority.INTERACTIVE, log, 900, 200)
+    for n, at in enumerate(trace.arrivals(0.7 * trace.scale, -5.0)):
+        customer = trace.draw_customer()
+        size = trace.rng.randint(6, 16)
+        log = extend_chain(roots[customer], f"trail{n}", size)
         for _ in range(3):
-            mix.add(at, customer, models.Priority.BATCH, log, 500, 250)
-            at += mix.rng.uniform(0.5, 4.0)
+            trace.add(at, customer, models.Priority.BATCH, log, 500, 250)
+            at += trace.rng.uniform(0.5, 4.0)
 
 
-def bindery_traffic(mix: Mix) -> None:
-    """Page checks against whole manuscripts, and drafts with families."""
+def bindery_traffic(trace: TraceBuilder) -> None:
+    """Generates page checks against manuscripts, and chats about them."""
     numbers = itertools.count()
-    for at in mix.arrivals(0.3 * mix.scale, -40.0):
-        _manuscript(mix, at, mix.customer(), f"m{next(numbers)}")
-    _manuscript_under_proof(mix)
+    for at in trace.arrivals(0.3 * trace.scale, -40.0):
+        _add_manuscript(trace, at, trace.draw_customer(), f"m{next(numbers)}")
+    _add_hot_manuscript(trace)
 
 
-def _manuscript(mix: Mix, at: float, customer: str, label: str) -> None:
-    """One manuscript: read, checked page by page, drafted with a family."""
-    rng = mix.rng
-    system = extend((), f"bindery-system/{customer}", 1)
-    text = extend(system, label, rng.randint(20, 50))
-    mix.add(at, customer, models.Priority.BATCH, text, 300, 300)
+def _add_manuscript(
+    trace: TraceBuilder, at: float, customer: str, label: str
+) -> None:
+    """Adds a manuscript: one batch request, page checks and family chats."""
+    rng = trace.rng
+    system = extend_chain((), f"bindery-system/{customer}", 1)
+    text = extend_chain(system, label, rng.randint(20, 50))
+    trace.add(at, customer, models.Priority.BATCH, text, 300, 300)
     page_at = at + 4.0
     for _ in range(rng.randint(60, 160)):
         page_at += rng.expovariate(4.0)
         out = 40 + int(rng.expovariate(1 / 40))
-        mix.add(page_at, customer, models.Priority.INTERACTIVE, text, 700, out)
+        trace.add(
+            page_at, customer, models.Priority.INTERACTIVE, text, 700, out
+        )
     for n in range(rng.randint(2, 6)):
         begin = at + rng.uniform(6.0, 40.0)
-        _conversation(mix, begin, customer, text, f"{label}/f{n}", _turns(rng))
+        _add_conversation(
+            trace, begin, customer, text, f"{label}/f{n}", _draw_turn_count(rng)
+        )
 
 
-def _manuscript_under_proof(mix: Mix) -> None:
-    """The hot manuscript of the largest customer, for the whole run."""
-    rng = mix.rng
-    system = extend((), "bindery-system/c0", 1)
-    texts = [extend(system, f"proof{e}", 40) for e in (0, 1)]
-    for at in mix.arrivals(9.0 * mix.scale, burst=1.0):
-        text = texts[mix.epoch(at)]
+def _add_hot_manuscript(trace: TraceBuilder) -> None:
+    """Adds the largest customer's hot manuscript, used for the whole run."""
+    rng = trace.rng
+    system = extend_chain((), "bindery-system/c0", 1)
+    texts = [extend_chain(system, f"proof{e}", 40) for e in (0, 1)]
+    for at in trace.arrivals(9.0 * trace.scale, burst=1.0):
+        text = texts[trace.hot_set(at)]
         out = 40 + int(rng.expovariate(1 / 40))
-        mix.add(at, "c0", models.Priority.INTERACTIVE, text, 700, out)
-    for n, at in enumerate(mix.arrivals(0.8 * mix.scale, burst=1.0)):
-        text = texts[mix.epoch(at)]
-        _conversation(mix, at, "c0", text, f"pf{n}", _turns(rng))
+        trace.add(at, "c0", models.Priority.INTERACTIVE, text, 700, out)
+    for n, at in enumerate(trace.arrivals(0.8 * trace.scale, burst=1.0)):
+        text = texts[trace.hot_set(at)]
+        _add_conversation(
+            trace, at, "c0", text, f"pf{n}", _draw_turn_count(rng)
+        )
 
 
 HUTS = Deployment(
@@ -289,7 +312,7 @@
 
 
 def first_need_tokens(requests: Sequence[Request]) -> int:
-    """Tokens that any router has to compute: each block once, all tails."""
+    """Returns the tokens to compute: each block once, and all tails."""
     blocks = {block for r in requests for block in r.blocks}
     tails = sum(
         r.prompt_tokens - len(r.blocks) * prefixes.BLOCK_TOKENS
@@ -307,9 +330,9 @@
     step_s: float,
     slowdown: float,
 ) -> float:
-    """Load as a part of the capacity with ideal caches.
+    """Returns the load as a fraction of the capacity with ideal caches.
 
-    It is the larger of the prefill time and the batch places needed, when
+    It is the larger of the shares of prefill time and of batch slots needed if
     every block is computed once and never evicted and all batches are full.
     """
     prefill = first_need_tokens(requests) / prefill_tokens_s * slowdown
@@ -328,12 +351,12 @@
     shift_at: float | None,
     measure: Callable[[Sequence[Request]], float],
 ) -> list[Request]:
-    """Makes a trace whose utilisation is close to `load`."""
+    """Generates a trace whose utilisation is close to `load`."""
     scale = 1.0
     for _ in range(3):
-        mix = Mix(deployment, seed, scale, duration_s, shift_at)
-        deployment.generate(mix)
-        scale *= load / measure(mix.requests)
-    mix = Mix(deployment, seed, scale, duration_s, shift_at)
-    deployment.generate(mix)
-    return sorted(mix.requests, key=lambda r: (r.at, r.id))
+        trace = TraceBuilder(deployment, seed, scale, duration_s, shift_at)
+        deployment.generate(trace)
+        scale *= load / measure(trace.requests)
+    trace = TraceBuilder(deployment, seed, scale, duration_s, shift_at)
+    deployment.generate(trace)
+    return sorted(trace.requests, key=lambda r: (r.at, r.id))
