--- a/features/steps/proxy_steps.py
+++ b/features/steps/proxy_steps.py
@@ -249,7 +249,7 @@
             async with busy, idle:
                 await busy.send(request("once"))
                 await runner.wait(lambda: runner.received)
-                site.server.refuse_new()
+                site.server.stop_accepting()
                 context.idle_closed = await is_closed(idle)
                 context.accepted_new = await is_accepted(site.port)
                 context.answer = RawAnswer(await receive_all(busy, 0.4))
@@ -305,7 +305,7 @@
                 context.data = await caller.receive()
                 while EVENTS[0] not in context.data:
                     context.data += await caller.receive()
-                site.server.refuse_new()
+                site.server.stop_accepting()
                 context.data += await receive_all(caller, 0.5)
                 context.idle_closed = await is_closed(caller)
 
--- a/knapweedarch/adapters.py
+++ b/knapweedarch/adapters.py
@@ -19,7 +19,7 @@
 from knapweedarch.exchanges import (
     Exchange,
     MaySend,
-    framed,
+    has_framing,
     read_body,
     send,
 )
@@ -37,16 +37,16 @@
     StreamProtocolError,
 )
 from knapweedarch.timers import Clock, ManualClock
-from knapweedarch.transports import CONNECT_S, EndpointTransport
+from knapweedarch.transports import CONNECT_TIMEOUT_S, EndpointTransport
 
-FEED_SILENCE_S = 1.0
-CANCEL_S = 1.0
-MAX_ANSWER_BYTES = 1024 * 1024
+FEED_TIMEOUT_S = 1.0
+CANCEL_TIMEOUT_S = 1.0
+MAX_RESPONSE_BYTES = 1024 * 1024
 MAX_ERROR_BYTES = 16 * 1024
 
 
 @attrs.frozen
-class ServiceAnswer:
+class ServiceResponse:
     """Whole answer of a plain service.
 
     Attributes:
@@ -129,14 +129,14 @@
             "x-weights-version": endpoint.weights_version,
             "x-incarnation": endpoint.incarnation,
         }
-        started = self._clock.now()
+        started_at = self._clock.now()
         exchange = self._exchange(
             "POST", endpoint.url + "/v1/chat/completions", headers, body
         )
         async with send(self._transport, exchange, may_send, first_event_s):
-            await self._check_chat(exchange, request_id, attempt_id)
-            waited = self._clock.now() - started
-            stream = ChatStream(exchange, max(0.0, first_event_s - waited))
+            await self._check_chat_response(exchange, request_id, attempt_id)
+            elapsed_s = self._clock.now() - started_at
+            stream = ChatStream(exchange, max(0.0, first_event_s - elapsed_s))
             yield stream
             await stream.drain_body()
 
@@ -150,7 +150,7 @@
         timeout_s: float,
         may_send: MaySend,
         own_connection: bool = False,
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         """Calls a plain service and reads its whole answer.
 
         Args:
@@ -172,9 +172,9 @@
         try:
             with anyio.fail_after(timeout_s):
                 async with send(self._transport, exchange, may_send, timeout_s):
-                    return await self._read_answer(exchange)
+                    return await self._read_response(exchange)
         except TimeoutError as exc:
-            raise exchange.failed(
+            raise exchange.create_error(
                 RetryReason.FIRST_TOKEN_TIMEOUT, f"no answer in {timeout_s} s"
             ) from exc
 
@@ -192,10 +192,10 @@
         exchange = self._exchange("GET", endpoint.url + "/feed", headers, b"")
         exchange.request.extensions["own_connection"] = True
         async with send(
-            self._transport, exchange, lambda: None, FEED_SILENCE_S
+            self._transport, exchange, lambda: None, FEED_TIMEOUT_S
         ):
             if exchange.response.status_code != 200:
-                raise exchange.failed(
+                raise exchange.create_error(
                     RetryReason.ENDPOINT_REFUSED,
                     f"status {exchange.response.status_code}",
                 )
@@ -205,7 +205,7 @@
                     expected, last_number = last_number, item.number
                     yield item
                     if expected is not None and item.number != expected + 1:
-                        raise exchange.failed(
+                        raise exchange.create_error(
                             RetryReason.STREAM_GAP,
                             f"event {item.number} follows {expected}",
                         )
@@ -221,7 +221,7 @@
             EndpointError: The runner did not confirm.
         """
         body = {"request_id": request_id, "attempt_id": attempt_id}
-        await self._post(endpoint, "/cancel", {}, body, CANCEL_S)
+        await self._post(endpoint, "/cancel", {}, body, CANCEL_TIMEOUT_S)
 
     async def order(
         self, endpoint: Endpoint, order: Order, fencing_number: int
@@ -240,21 +240,26 @@
         await self._post(endpoint, "/orders", headers, body, ORDER_TIMEOUT_S)
 
     async def _post(
-        self, endpoint: Endpoint, path: str, headers, body: dict, limit_s: float
+        self,
+        endpoint: Endpoint,
+        path: str,
+        headers,
+        body: dict,
+        timeout_s: float,
     ) -> None:
-        answer = await self.call_service(
+        response = await self.call_service(
             endpoint,
             "POST",
             path,
             {**headers, "content-type": "application/json"},
             json.dumps(body).encode(),
-            limit_s,
+            timeout_s,
             lambda: None,
             own_connection=True,
         )
-        if answer.code != 200:
+        if response.code != 200:
             raise EndpointError(
-                RetryReason.ENDPOINT_REFUSED.value, f"status {answer.code}"
+                RetryReason.ENDPOINT_REFUSED.value, f"status {response.code}"
             )
 
     def _exchange(
@@ -269,54 +274,60 @@
             httpx.Request(method, url, headers=fields, content=body or None)
         )
 
-    async def _check_chat(
+    async def _check_chat_response(
         self, exchange: Exchange, request_id: str, attempt_id: str
     ) -> None:
         """Checks that the answer is a stream for this attempt."""
         code = exchange.response.status_code
-        told = exchange.header("x-request-id"), exchange.header("x-attempt-id")
-        if code == 200 and told == (request_id, attempt_id):
+        response_ids = (
+            exchange.header("x-request-id"),
+            exchange.header("x-attempt-id"),
+        )
+        if code == 200 and response_ids == (request_id, attempt_id):
             return
-        if told != (request_id, attempt_id) and (code == 200 or any(told)):
-            raise exchange.failed(
-                RetryReason.CROSSED_ANSWER, f"an answer for {told} came"
+        if response_ids != (request_id, attempt_id) and (
+            code == 200 or any(response_ids)
+        ):
+            raise exchange.create_error(
+                RetryReason.CROSSED_ANSWER, f"an answer for {response_ids} came"
             )
         reason = RetryReason.ENDPOINT_ERROR
         # Only a refusal of this very attempt tells that it was not run.
-        if 400 <= code < 500 and any(told):
-            reason = await self._refusal(exchange)
-        raise exchange.failed(reason, f"status {code}")
+        if 400 <= code < 500 and any(response_ids):
+            reason = await self._read_refusal_reason(exchange)
+        raise exchange.create_error(reason, f"status {code}")
 
-    async def _refusal(self, exchange: Exchange) -> RetryReason:
-        told = ""
+    async def _read_refusal_reason(self, exchange: Exchange) -> RetryReason:
+        reason = ""
         with contextlib.suppress(
             ValueError, KeyError, TypeError, httpx.HTTPError, TimeoutError
         ):
-            with anyio.fail_after(CONNECT_S):
+            with anyio.fail_after(CONNECT_TIMEOUT_S):
                 body = await read_body(exchange, MAX_ERROR_BYTES)
-            told = json.loads(body or b"{}")["error"]["reason"]
-        if told in (RetryReason.WRONG_INCARNATION, RetryReason.WRONG_VERSION):
-            return RetryReason(told)
+            reason = json.loads(body or b"{}")["error"]["reason"]
+        if reason in (RetryReason.WRONG_INCARNATION, RetryReason.WRONG_VERSION):
+            return RetryReason(reason)
         return RetryReason.ENDPOINT_REFUSED
 
-    async def _read_answer(self, exchange: Exchange) -> ServiceAnswer:
+    async def _read_response(self, exchange: Exchange) -> ServiceResponse:
         sent_id = exchange.request.headers.get("x-request-id", "")
-        told_id = exchange.header("x-request-id")
-        if sent_id and told_id != sent_id:
-            raise exchange.failed(
-                RetryReason.CROSSED_ANSWER, f"an answer for {told_id!r} came"
+        response_id = exchange.header("x-request-id")
+        if sent_id and response_id != sent_id:
+            raise exchange.create_error(
+                RetryReason.CROSSED_ANSWER,
+                f"an answer for {response_id!r} came",
             )
-        if not framed(exchange.response):
-            raise exchange.failed(
+        if not has_framing(exchange.response):
+            raise exchange.create_error(
                 RetryReason.STREAM_TRUNCATED, "the answer has no length"
             )
         try:
-            body = await read_body(exchange, MAX_ANSWER_BYTES)
+            body = await read_body(exchange, MAX_RESPONSE_BYTES)
         except httpx.HTTPError as exc:
-            raise exchange.failed(
+            raise exchange.create_error(
                 RetryReason.CONNECTION_CLOSED, repr(exc)
             ) from exc
-        return ServiceAnswer(
+        return ServiceResponse(
             exchange.response.status_code,
             exchange.header("content-type"),
             body or b"",
@@ -327,11 +338,11 @@
         self, exchange: Exchange, endpoint: Endpoint
     ) -> AsyncIterator[FeedItem]:
         decoder = SseDecoder()
-        parts = aiter(exchange.response.stream)
+        chunks = aiter(exchange.response.stream)
         while True:
             try:
-                with anyio.fail_after(FEED_SILENCE_S):
-                    data = await anext(parts, None)
+                with anyio.fail_after(FEED_TIMEOUT_S):
+                    data = await anext(chunks, None)
                 if data is None:
                     return
                 items = [
@@ -339,12 +350,12 @@
                     for event in decoder.feed(data)
                 ]
             except TimeoutError as exc:
-                raise exchange.failed(
+                raise exchange.create_error(
                     RetryReason.STREAM_SILENT,
-                    f"the feed was silent for {FEED_SILENCE_S} s",
+                    f"the feed was silent for {FEED_TIMEOUT_S} s",
                 ) from exc
             except httpx.HTTPError as exc:
-                raise exchange.failed(
+                raise exchange.create_error(
                     RetryReason.CONNECTION_CLOSED, repr(exc)
                 ) from exc
             except (
@@ -353,7 +364,7 @@
                 TypeError,
                 StreamProtocolError,
             ) as exc:
-                raise exchange.failed(
+                raise exchange.create_error(
                     RetryReason.ENDPOINT_ERROR, f"unreadable feed: {exc!r}"
                 ) from exc
             for item in items:
--- a/knapweedarch/chat_streams.py
+++ b/knapweedarch/chat_streams.py
@@ -43,12 +43,14 @@
                 if items := self._decoder.feed(data):
                     return [parse_event(item) for item in items]
         except httpx.HTTPError as exc:
-            raise self.failed(RetryReason.CONNECTION_CLOSED, repr(exc)) from exc
+            raise self.create_error(
+                RetryReason.CONNECTION_CLOSED, repr(exc)
+            ) from exc
         return []
 
-    def failed(self, reason: RetryReason, message: str) -> EndpointError:
+    def create_error(self, reason: RetryReason, message: str) -> EndpointError:
         """Builds the error for a failure of this attempt."""
-        return self._exchange.failed(reason, message)
+        return self._exchange.create_error(reason, message)
 
     async def drain_body(self) -> None:
         """Reads the end of the body, so that the connection can be reused."""
--- a/knapweedarch/chats.py
+++ b/knapweedarch/chats.py
@@ -361,11 +361,11 @@
                     f"a write to the caller timed out after {WRITE_TIMEOUT_S} s"
                 )
             case Step.FIRST_EVENT:
-                return stream.failed(
+                return stream.create_error(
                     RetryReason.FIRST_TOKEN_TIMEOUT,
                     "the first token did not arrive in time",
                 )
-        return stream.failed(
+        return stream.create_error(
             RetryReason.STREAM_SILENT, f"no event for {STREAM_IDLE_TIMEOUT_S} s"
         )
 
--- a/knapweedarch/dialects.py
+++ b/knapweedarch/dialects.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class CallerTerms:
+class CallerOptions:
     """What a caller says of its request.
 
     Attributes:
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class SendTerms:
+class SendOptions:
     """What an endpoint is told beside the caller's request.
 
     Attributes:
@@ -59,10 +59,10 @@
 class Dialect(Protocol):
     """Headers of a platform, decoded and encoded."""
 
-    def read_terms(self, req: Request) -> CallerTerms:
+    def read_options(self, req: Request) -> CallerOptions:
         """Decodes the headers of a caller's request."""
 
-    def endpoint_headers(self, req: Request, terms: SendTerms) -> Headers:
+    def endpoint_headers(self, req: Request, options: SendOptions) -> Headers:
         """Returns the headers of the request that an endpoint gets."""
 
     def is_answer_to(self, headers: Headers, request_id: str) -> bool:
@@ -71,5 +71,5 @@
     def was_not_run(self, head: AnswerHead) -> bool:
         """Tells whether an endpoint says that it did not run the request."""
 
-    def is_other_instance(self, head: AnswerHead, instance_id: str) -> bool:
+    def is_wrong_instance(self, head: AnswerHead, instance_id: str) -> bool:
         """Tells whether another instance than the one meant has answered."""
--- a/knapweedarch/event_stream.py
+++ b/knapweedarch/event_stream.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen
-class Events:
+class EventBatch:
     """Whole events.
 
     Attributes:
@@ -34,19 +34,19 @@
     def __init__(self) -> None:
         self._buffer = b""
 
-    def feed(self, data: bytes) -> Events:
+    def feed(self, data: bytes) -> EventBatch:
         """Takes bytes; returns the events that are whole now."""
         self._buffer += data
         ends = [m.end() for m in EVENT_END.finditer(self._buffer)]
         if not ends:
-            return Events()
-        whole, self._buffer = (
+            return EventBatch()
+        complete, self._buffer = (
             self._buffer[: ends[-1]],
             self._buffer[ends[-1] :],
         )
-        ids = ID_LINE.findall(whole.replace(b"\r", b"\n"))
+        ids = ID_LINE.findall(complete.replace(b"\r", b"\n"))
         last_id = ids[-1].decode("utf-8", "replace") if ids else ""
-        return Events(whole, len(ends), last_id)
+        return EventBatch(complete, len(ends), last_id)
 
     def rest(self) -> bytes:
         """Returns the bytes after the last whole event."""
--- a/knapweedarch/exchanges.py
+++ b/knapweedarch/exchanges.py
@@ -37,7 +37,7 @@
     response: httpx.Response | None = None
     written: bool = False
 
-    def failed(self, reason: RetryReason, message: str) -> EndpointError:
+    def create_error(self, reason: RetryReason, message: str) -> EndpointError:
         """Builds the error for a failure of this exchange."""
         if not self.written:
             reason = RetryReason.CONNECT_REFUSED
@@ -53,7 +53,7 @@
     transport: EndpointTransport,
     exchange: Exchange,
     may_send: MaySend,
-    limit_s: float,
+    timeout_s: float,
 ) -> AsyncIterator[None]:
     """Sends a request and, on leaving, gives up its connection.
 
@@ -61,7 +61,7 @@
         transport: Where to send it.
         exchange: The exchange; gets the answer without its body.
         may_send: Asked right before the first byte is written.
-        limit_s: Longest wait for the head of the answer in seconds.
+        timeout_s: Longest wait for the head of the answer in seconds.
 
     Raises:
         EndpointError: No answer came.
@@ -75,16 +75,18 @@
 
     exchange.request.extensions["before_send"] = before_send
     try:
-        with anyio.fail_after(limit_s):
+        with anyio.fail_after(timeout_s):
             exchange.response = await transport.handle_async_request(
                 exchange.request
             )
     except TimeoutError as exc:
-        raise exchange.failed(
-            RetryReason.FIRST_TOKEN_TIMEOUT, f"no answer in {limit_s} s"
+        raise exchange.create_error(
+            RetryReason.FIRST_TOKEN_TIMEOUT, f"no answer in {timeout_s} s"
         ) from exc
     except httpx.HTTPError as exc:
-        raise exchange.failed(RetryReason.CONNECTION_CLOSED, repr(exc)) from exc
+        raise exchange.create_error(
+            RetryReason.CONNECTION_CLOSED, repr(exc)
+        ) from exc
     try:
         yield
     finally:
@@ -92,7 +94,7 @@
         await exchange.response.stream.aclose()
 
 
-def framed(response: httpx.Response) -> bool:
+def has_framing(response: httpx.Response) -> bool:
     """Tells whether a cut-off body would be noticed."""
     return (
         response.status_code in (204, 304)
@@ -101,11 +103,11 @@
     )
 
 
-async def read_body(exchange: Exchange, limit: int) -> bytes | None:
+async def read_body(exchange: Exchange, max_bytes: int) -> bytes | None:
     """Reads a whole body; returns None if it is longer than the limit."""
     body = bytearray()
-    async for part in exchange.response.stream:
-        body += part
-        if len(body) > limit:
+    async for chunk in exchange.response.stream:
+        body += chunk
+        if len(body) > max_bytes:
             return None
     return bytes(body)
--- a/knapweedarch/http_inbound.py
+++ b/knapweedarch/http_inbound.py
@@ -22,8 +22,8 @@
 READ_BYTES = 65_536
 # A closed connection with unread bytes is reset and the last answer lost, so
 # the peer gets this long to close its side first.
-LINGER_S = 1.0
-STREAM_FAULTS = (
+LINGER_TIMEOUT_S = 1.0
+STREAM_ERRORS = (
     OSError,
     anyio.EndOfStream,
     anyio.BrokenResourceError,
@@ -106,7 +106,7 @@
     async def run(self) -> None:
         """Serves requests until the connection ends."""
         try:
-            while await self._serve_one():
+            while await self._serve_request():
                 self._h11.start_next_cycle()
             if not self._aborted:
                 await self._linger()
@@ -116,23 +116,23 @@
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(self._stream)
 
-    async def _serve_one(self) -> bool:
+    async def _serve_request(self) -> bool:
         """Serves a request; tells whether another may follow."""
         try:
             req = await self._read_request()
         except h11.RemoteProtocolError as exc:
-            await self._refuse(exc.error_status_hint, str(exc))
+            await self._send_error(exc.error_status_hint, str(exc))
             return False
         except TimeoutError:
-            await self._refuse(408, "the request did not arrive in time")
+            await self._send_error(408, "the request did not arrive in time")
             return False
         if req is None:
             return False
-        self._server.began(self)
+        self._server.record_request_start(self)
         try:
             await self._handle(req)
         finally:
-            self._server.ended(self)
+            self._server.record_request_end(self)
         # The answer may have begun before its head could tell of the end.
         if self._aborted or self._server.refusing:
             return False
@@ -147,13 +147,17 @@
         """
         limits = self._server.limits()
         head = self._h11.next_event()
-        waits = head is h11.NEED_DATA and not self._h11.trailing_data[0]
-        if waits and not await self._wait_for_first_byte(limits.idle_s):
+        awaits_first_byte = (
+            head is h11.NEED_DATA and not self._h11.trailing_data[0]
+        )
+        if awaits_first_byte and not await self._wait_for_first_byte(
+            limits.idle_s
+        ):
             return None
         began_at = self._server.clock.now()
         with anyio.fail_after(limits.header_s):
-            while head is h11.NEED_DATA or waits:
-                head, waits = self._h11.next_event(), False
+            while head is h11.NEED_DATA or awaits_first_byte:
+                head, awaits_first_byte = self._h11.next_event(), False
                 if head is h11.NEED_DATA and not await self._receive():
                     return None
         if not isinstance(head, h11.Request):
@@ -173,13 +177,13 @@
         )
 
     async def _wait_for_first_byte(self, idle_s: float) -> bool:
-        self._server.idle(self)
+        self._server.mark_idle(self)
         try:
             with anyio.move_on_after(idle_s):
                 return await self._receive()
             return False
         finally:
-            self._server.busy(self)
+            self._server.mark_busy(self)
 
     async def _read_body(self, limits: CallerLimits) -> bytes | None:
         body = bytearray()
@@ -208,7 +212,7 @@
         """Reads bytes; tells whether the caller's side is still open."""
         try:
             data = await self._stream.receive(READ_BYTES)
-        except STREAM_FAULTS:
+        except STREAM_ERRORS:
             return False
         self._h11.receive_data(data)
         return True
@@ -217,7 +221,7 @@
         """Runs the handler and cancels it when the caller leaves."""
         responder = Responder(self)
         async with anyio.create_task_group() as group:
-            group.start_soon(self._watch_caller, group.cancel_scope)
+            group.start_soon(self._watch_for_disconnect, group.cancel_scope)
             try:
                 await self._server.handler(req, responder)
             except CallerGoneError:
@@ -230,7 +234,7 @@
         if self._h11.our_state is not h11.DONE:
             self._aborted = True
 
-    async def _watch_caller(self, scope: anyio.CancelScope) -> None:
+    async def _watch_for_disconnect(self, scope: anyio.CancelScope) -> None:
         """Reads on, since only that shows that the caller has left.
 
         A caller that sends a second request early is read up to one buffer.
@@ -265,7 +269,7 @@
             return
         try:
             await self._stream.send(data)
-        except STREAM_FAULTS as exc:
+        except STREAM_ERRORS as exc:
             self._aborted = True
             raise CallerGoneError("the caller closed the connection") from exc
 
@@ -273,7 +277,7 @@
         """Makes the connection end without a complete answer."""
         self._aborted = True
 
-    async def _refuse(self, status: int, reason: str) -> None:
+    async def _send_error(self, status: int, reason: str) -> None:
         log("request_malformed", status=status, reason=reason)
         if self._h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
@@ -285,8 +289,8 @@
     async def _linger(self) -> None:
         """Closes the own side and waits for the caller to close."""
         with (
-            anyio.move_on_after(LINGER_S),
-            contextlib.suppress(*STREAM_FAULTS),
+            anyio.move_on_after(LINGER_TIMEOUT_S),
+            contextlib.suppress(*STREAM_ERRORS),
         ):
             await self._stream.send_eof()
             while True:
@@ -344,9 +348,9 @@
         self.closing = self.refusing = False
         self.active = 0
         self._idle: set[InboundConnection] = set()
-        self._scopes: dict[InboundConnection, anyio.CancelScope] = {}
-        self._accepting = anyio.CancelScope()
-        self._quiet = anyio.Event()
+        self._cancel_scopes: dict[InboundConnection, anyio.CancelScope] = {}
+        self._accept_scope = anyio.CancelScope()
+        self._no_active_requests = anyio.Event()
 
     async def serve(
         self, host: str, port: int, *, task_status=anyio.TASK_STATUS_IGNORED
@@ -358,51 +362,51 @@
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         task_status.started(port)
         async with anyio.create_task_group() as group:
-            with self._accepting:
+            with self._accept_scope:
                 await listener.serve(self._accept, group)
             await listener.aclose()
 
     async def _accept(self, stream: anyio.abc.SocketStream) -> None:
         conn = InboundConnection(self, stream)
         with anyio.CancelScope() as scope:
-            self._scopes[conn] = scope
+            self._cancel_scopes[conn] = scope
             try:
                 await conn.run()
             finally:
-                del self._scopes[conn]
+                del self._cancel_scopes[conn]
 
-    def began(self, conn: InboundConnection) -> None:
+    def record_request_start(self, conn: InboundConnection) -> None:
         """Notes that a request was read."""
         self.active += 1
 
-    def ended(self, conn: InboundConnection) -> None:
+    def record_request_end(self, conn: InboundConnection) -> None:
         """Notes that a request was answered or given up."""
         self.active -= 1
         if not self.active:
-            self._quiet.set()
+            self._no_active_requests.set()
 
-    def idle(self, conn: InboundConnection) -> None:
+    def mark_idle(self, conn: InboundConnection) -> None:
         """Notes that a connection waits for a request."""
         self._idle.add(conn)
 
-    def busy(self, conn: InboundConnection) -> None:
+    def mark_busy(self, conn: InboundConnection) -> None:
         """Notes that a connection waits no longer."""
         self._idle.discard(conn)
 
-    def refuse_new(self) -> None:
+    def stop_accepting(self) -> None:
         """Takes no new connection or request; what is in progress goes on.
 
         A request that crosses the end of an idle connection was not read.
         """
         self.closing = self.refusing = True
-        self._accepting.cancel()
+        self._accept_scope.cancel()
         for conn in list(self._idle):
-            if conn in self._scopes:
-                self._scopes[conn].cancel()
+            if conn in self._cancel_scopes:
+                self._cancel_scopes[conn].cancel()
 
-    async def drain(self, limit_s: float) -> None:
+    async def drain(self, timeout_s: float) -> None:
         """Waits until no request is in progress, within a limit."""
-        with anyio.move_on_after(limit_s):
+        with anyio.move_on_after(timeout_s):
             while self.active:
-                self._quiet = anyio.Event()
-                await self._quiet.wait()
+                self._no_active_requests = anyio.Event()
+                await self._no_active_requests.wait()
--- a/knapweedarch/http_messages.py
+++ b/knapweedarch/http_messages.py
@@ -6,7 +6,7 @@
 
 # Headers that concern one connection only (RFC 9110, section 7.6.1), and
 # those that frame the body, which each side sets for itself.
-CONNECTION_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         *(b"connection", b"keep-alive", b"proxy-connection", b"te"),
         *(b"trailer", b"transfer-encoding", b"upgrade", b"expect"),
@@ -23,11 +23,13 @@
     return b""
 
 
-def end_to_end(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """Drops the headers that concern one connection only."""
-    named = find_header(headers, b"connection").lower().split(b",")
-    dropped = CONNECTION_HEADERS.union(name.strip() for name in named)
-    return tuple((k, v) for k, v in headers if k.lower() not in dropped)
+    connection_options = find_header(headers, b"connection").lower().split(b",")
+    hop_by_hop = HOP_BY_HOP_HEADERS.union(
+        name.strip() for name in connection_options
+    )
+    return tuple((k, v) for k, v in headers if k.lower() not in hop_by_hop)
 
 
 @attrs.frozen(kw_only=True)
--- a/knapweedarch/http_outbound.py
+++ b/knapweedarch/http_outbound.py
@@ -21,15 +21,15 @@
 from knapweedarch.timers import Clock
 
 READ_BYTES = 65_536
-CONNECT_S = 0.35
+CONNECT_TIMEOUT_S = 0.35
 # An endpoint that names no time closes idle connections after some seconds.
-USUAL_IDLE_S = 3.0
+DEFAULT_IDLE_S = 3.0
 # Taken off the time that an endpoint names: a request may cross its close.
 IDLE_MARGIN_S = 0.6
 MAX_IDLE_PER_ADDRESS = 16
-MAX_STRAY_ANSWERS = 4
-SENT_AT_ONCE_BYTES = 8_192
-STREAM_FAULTS = (
+MAX_MISMATCHED_ANSWERS = 4
+MAX_INLINE_BODY_BYTES = 8_192
+STREAM_ERRORS = (
     OSError,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
@@ -44,7 +44,7 @@
     protocol: h11.Connection
     idle_until: float = 0.0
 
-    def is_silent(self) -> bool:
+    def has_no_input(self) -> bool:
         """Tells whether nothing arrived, neither bytes nor an end."""
         sock = self.stream.extra(anyio.abc.SocketAttribute.raw_socket)
         poll = select.poll()
@@ -77,16 +77,20 @@
     """
 
     def __init__(
-        self, pool: "OutboundPool", address: str, req: Request, own: IsOwnAnswer
+        self,
+        pool: "OutboundPool",
+        address: str,
+        req: Request,
+        is_own_answer: IsOwnAnswer,
     ):
         self.written = False
         self._pool = pool
         self._address = address
         self._req = req
-        self._is_own = own
+        self._is_own_answer = is_own_answer
         self._conn: _Connection | None = None
         self._sent = False
-        self._sending = anyio.CancelScope()
+        self._send_scope = anyio.CancelScope()
         self._complete = False
 
     async def open(self, may_send: Callable[[], None]) -> None:
@@ -99,7 +103,7 @@
             ExchangeError: No connection; nothing was written.
         """
         try:
-            self._conn = await self._pool.take(self._address)
+            self._conn = await self._pool.acquire(self._address)
         except (OSError, TimeoutError) as exc:
             raise ExchangeError(
                 RetryReason.CONNECT_REFUSED, repr(exc), written=False
@@ -113,19 +117,21 @@
             ExchangeError: No answer came.
         """
         # The endpoint may answer before it has read a long body.
-        if len(self._req.body) > SENT_AT_ONCE_BYTES:
-            self._pool.spawn(self._send_beside)
+        if len(self._req.body) > MAX_INLINE_BODY_BYTES:
+            self._pool.spawn(self._send_in_background)
         else:
             await self._send()
-        for _ in range(MAX_STRAY_ANSWERS):
+        for _ in range(MAX_MISMATCHED_ANSWERS):
             head = await self._read_head()
-            if self._is_own(head.headers):
+            if self._is_own_answer(head.headers):
                 return head
-            await self._skip_stray_answer()
-        raise self._failed(RetryReason.CROSSED_ANSWER, "only stray answers")
+            await self._skip_mismatched_answer()
+        raise self._create_error(
+            RetryReason.CROSSED_ANSWER, "only stray answers"
+        )
 
-    async def _send_beside(self) -> None:
-        with self._sending:
+    async def _send_in_background(self) -> None:
+        with self._send_scope:
             await self._send()
 
     async def _send(self) -> None:
@@ -141,7 +147,7 @@
         data += protocol.send(h11.EndOfMessage())
         self.written = True
         # A failed write shows as a failed read, with what the endpoint said.
-        with contextlib.suppress(*STREAM_FAULTS):
+        with contextlib.suppress(*STREAM_ERRORS):
             await self._conn.stream.send(data)
             self._sent = True
 
@@ -153,11 +159,11 @@
                 case h11.InformationalResponse():
                     continue
                 case event:
-                    raise self._failed(
+                    raise self._create_error(
                         RetryReason.CONNECTION_CLOSED, f"no answer: {event!r}"
                     )
 
-    async def _skip_stray_answer(self) -> None:
+    async def _skip_mismatched_answer(self) -> None:
         """Reads past the answer to another request.
 
         The protocol object takes it for the answer to this one, so what
@@ -167,19 +173,21 @@
             pass
         trailing, closed = self._conn.protocol.trailing_data
         if closed or self._conn.protocol.their_state is not h11.DONE:
-            raise self._failed(RetryReason.CROSSED_ANSWER, "a stray answer")
-        fresh = h11.Connection(h11.CLIENT)
-        fresh.send(
+            raise self._create_error(
+                RetryReason.CROSSED_ANSWER, "a stray answer"
+            )
+        protocol = h11.Connection(h11.CLIENT)
+        protocol.send(
             h11.Request(
                 method=self._req.method,
                 target=self._req.target,
                 headers=[(b"host", b"-")],
             )
         )
-        fresh.send(h11.EndOfMessage())
+        protocol.send(h11.EndOfMessage())
         if trailing:
-            fresh.receive_data(trailing)
-        self._conn.protocol = fresh
+            protocol.receive_data(trailing)
+        self._conn.protocol = protocol
         self._complete = False
 
     async def read(self) -> bytes | None:
@@ -197,7 +205,7 @@
                 self._complete = True
                 return None
             case event:
-                raise self._failed(
+                raise self._create_error(
                     RetryReason.CONNECTION_CLOSED, f"broke off: {event!r}"
                 )
 
@@ -207,7 +215,7 @@
                 self._conn.protocol.receive_data(await self._receive())
             return event
         except h11.RemoteProtocolError as exc:
-            raise self._failed(
+            raise self._create_error(
                 RetryReason.CONNECTION_CLOSED, f"not an answer: {exc}"
             ) from exc
 
@@ -216,36 +224,36 @@
             return await self._conn.stream.receive(READ_BYTES)
         except anyio.EndOfStream:
             return b""
-        except STREAM_FAULTS as exc:
-            raise self._failed(
+        except STREAM_ERRORS as exc:
+            raise self._create_error(
                 RetryReason.CONNECTION_CLOSED, repr(exc)
             ) from exc
 
-    def _failed(self, reason: RetryReason, message: str) -> ExchangeError:
+    def _create_error(self, reason: RetryReason, message: str) -> ExchangeError:
         return ExchangeError(reason, message, self.written)
 
     async def close(self, head: AnswerHead | None) -> None:
         """Gives the connection back, or closes it unless it is clean."""
-        self._sending.cancel()
+        self._send_scope.cancel()
         conn, self._conn = self._conn, None
         if conn is None:
             return
         protocol = conn.protocol
-        clean = (
+        reusable = (
             self._complete
             and self._sent
             and protocol.our_state is h11.DONE
             and protocol.their_state is h11.DONE
             and not protocol.trailing_data[0]
         )
-        if clean and head is not None:
+        if reusable and head is not None:
             protocol.start_next_cycle()
-            await self._pool.give_back(self._address, conn, head)
+            await self._pool.release(self._address, conn, head)
         else:
-            await _close(conn)
+            await _close_connection(conn)
 
 
-async def _close(conn: _Connection) -> None:
+async def _close_connection(conn: _Connection) -> None:
     with anyio.CancelScope(shield=True):
         await anyio.aclose_forcefully(conn.stream)
 
@@ -277,7 +285,7 @@
         """
         return Exchange(self, address, req, is_own)
 
-    async def take(self, address: str) -> _Connection:
+    async def acquire(self, address: str) -> _Connection:
         """Returns an idle connection that is still open, or a new one.
 
         Raises:
@@ -287,41 +295,41 @@
         idle = self._idle.get(address, [])
         while idle:
             conn = idle.pop()
-            if self._clock.now() < conn.idle_until and conn.is_silent():
+            if self._clock.now() < conn.idle_until and conn.has_no_input():
                 return conn
-            await _close(conn)
+            await _close_connection(conn)
         host, _, port = address.rpartition(":")
-        with anyio.fail_after(CONNECT_S):
+        with anyio.fail_after(CONNECT_TIMEOUT_S):
             stream = await anyio.connect_tcp(host, int(port))
         return _Connection(stream, h11.Connection(h11.CLIENT))
 
-    async def give_back(
+    async def release(
         self, address: str, conn: _Connection, head: AnswerHead
     ) -> None:
         """Keeps a connection for the next request."""
-        idle_s = _idle_time(head)
+        idle_s = _idle_limit_s(head)
         idle = self._idle.setdefault(address, [])
         conn.idle_until = self._clock.now() + idle_s
         if idle_s > 0 and len(idle) < MAX_IDLE_PER_ADDRESS:
             idle.append(conn)
         else:
-            await _close(conn)
+            await _close_connection(conn)
 
-    async def drop_stale(self) -> None:
+    async def close_expired(self) -> None:
         """Closes connections that were idle for too long."""
         now = self._clock.now()
         for address, idle in list(self._idle.items()):
             for conn in [c for c in idle if c.idle_until <= now]:
                 idle.remove(conn)
-                await _close(conn)
+                await _close_connection(conn)
             if not idle:
                 del self._idle[address]
 
 
-def _idle_time(head: AnswerHead) -> float:
+def _idle_limit_s(head: AnswerHead) -> float:
     """Returns for how many seconds a connection may stay idle."""
     for part in head.header(b"keep-alive").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
             return max(0.0, int(value) - IDLE_MARGIN_S)
-    return USUAL_IDLE_S - IDLE_MARGIN_S
+    return DEFAULT_IDLE_S - IDLE_MARGIN_S
--- a/knapweedarch/http_server.py
+++ b/knapweedarch/http_server.py
@@ -21,7 +21,7 @@
 CHAT_PATHS = "/v1/chat/"
 # Time in which the balancer sees that this router is no longer ready.
 READY_GRACE_S = 1.0
-OPEN_AFTER_DRAIN_S = 1.0
+SHUTDOWN_TIMEOUT_S = 1.0
 MAX_HEADER_BYTES = 32 * 1024
 BACKLOG = 1024
 
@@ -42,7 +42,7 @@
         self.stopping = False
         self._settings = settings
         self._metrics = metrics
-        self._idle = anyio.Event()
+        self._no_active_requests = anyio.Event()
         self._listener = self._listen()
         self.port = self._listener.getsockname()[1]
 
@@ -60,7 +60,7 @@
         cfg = Config()
         cfg.bind = [f"fd://{self._listener.detach()}"]
         cfg.backlog = BACKLOG
-        cfg.graceful_timeout = OPEN_AFTER_DRAIN_S
+        cfg.graceful_timeout = SHUTDOWN_TIMEOUT_S
         cfg.h11_max_incomplete_size = MAX_HEADER_BYTES
         cfg.accesslog = None
         cfg.errorlog = logging.getLogger("hypercorn.error")
@@ -73,18 +73,20 @@
         async with anyio.create_task_group() as group:
             group.start_soon(self._await_signal, stop)
             await serve(
-                self._counted(app), self._config(), shutdown_trigger=stop.wait
+                self._count_requests(app),
+                self._config(),
+                shutdown_trigger=stop.wait,
             )
             group.cancel_scope.cancel()
 
-    def _counted(self, app):
+    def _count_requests(self, app):
         """Wraps the application so that a drain knows what still runs."""
 
         async def counted(scope, receive, send) -> None:
             if scope["type"] != "http":
                 return await app(scope, receive, send)
             if scope["path"] == COUNTERS_PATH:
-                return await self._show_counters(scope, send)
+                return await self._send_counters(scope, send)
             if self._is_full(scope["path"]):
                 return await self._refuse_full(scope, receive, send)
             self.active += 1
@@ -93,7 +95,7 @@
             finally:
                 self.active -= 1
                 if self.active == 0:
-                    self._idle.set()
+                    self._no_active_requests.set()
 
         return counted
 
@@ -103,8 +105,8 @@
         Only chat requests are refused as not run: a deposit may have run
         before, and a leaving endpoint and the balancer must be answered.
         """
-        full = self.active >= self._settings.max_streams
-        return full and path.startswith(CHAT_PATHS)
+        at_limit = self.active >= self._settings.max_streams
+        return at_limit and path.startswith(CHAT_PATHS)
 
     async def _refuse_full(self, scope, receive, send) -> None:
         """Refuses before any byte of the body is read."""
@@ -115,12 +117,12 @@
             )
         )
 
-    async def _show_counters(self, scope, send) -> None:
+    async def _send_counters(self, scope, send) -> None:
         """Answers an operator who holds the shared credential."""
-        want = f"Bearer {self._settings.credential}".encode()
+        expected = f"Bearer {self._settings.credential}".encode()
         given = dict(scope["headers"]).get(b"authorization", b"")
         status, content = 200, dict(sorted(self._metrics.counts.items()))
-        if not hmac.compare_digest(given, want):
+        if not hmac.compare_digest(given, expected):
             self._metrics.count("credential.refused")
             status, content = 401, {}
         await send(
@@ -150,6 +152,6 @@
         self.stopping = True
         with anyio.move_on_after(self._settings.drain_s):
             while self.active:
-                self._idle = anyio.Event()
-                await self._idle.wait()
+                self._no_active_requests = anyio.Event()
+                await self._no_active_requests.wait()
         log("drain_ended", active=self.active)
--- a/knapweedarch/proxy.py
+++ b/knapweedarch/proxy.py
@@ -28,7 +28,7 @@
 from knapweedarch.stored_parts import PartsIndex
 from knapweedarch.timers import Clock, Timers
 
-DROP_STALE_INTERVAL_S = 0.5
+CLOSE_EXPIRED_INTERVAL_S = 0.5
 LOADS_INTERVAL_S = 0.1
 GAUGES_INTERVAL_S = 1.0
 
@@ -134,7 +134,9 @@
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
         """Serves until SIGTERM, then drains and returns."""
         self._keeper.subscribe(self._timers)
-        self._timers.every(DROP_STALE_INTERVAL_S, self._drop_stale)
+        self._timers.every(
+            CLOSE_EXPIRED_INTERVAL_S, self._close_expired_connections
+        )
         StopWatcher(self._timers, self._attempts.chooser.exclude_pause)
         self._timers.every(LOADS_INTERVAL_S, self._send_loads)
         self._timers.every(GAUGES_INTERVAL_S, self._update_gauges)
@@ -171,14 +173,14 @@
             log("drain_started", active=self._server.active)
             await anyio.sleep(self._settings.ready_lag_s)
             # A request accepted later than this could not be finished in time.
-            self._server.refuse_new()
+            self._server.stop_accepting()
             await self._server.drain(
                 self._settings.stop_s - self._settings.ready_lag_s - 0.5
             )
             log("drain_ended", active=self._server.active)
 
-    def _drop_stale(self, now: float) -> None:
-        self._group.start_soon(self._pool.drop_stale)
+    def _close_expired_connections(self, now: float) -> None:
+        self._group.start_soon(self._pool.close_expired)
 
     def _set_routers(self, count: int) -> None:
         self._attempts.router_count = count
--- a/knapweedarch/proxy_attempts.py
+++ b/knapweedarch/proxy_attempts.py
@@ -6,7 +6,7 @@
 import attrs
 
 from knapweedarch.deployments import CacheStore
-from knapweedarch.dialects import Dialect, SendTerms
+from knapweedarch.dialects import Dialect, SendOptions
 from knapweedarch.endpoint_choice import EndpointChooser
 from knapweedarch.exceptions import ExchangeError
 from knapweedarch.heartbeats import incarnation_start
@@ -107,11 +107,17 @@
         now = self.clock.now()
         endpoints = self._by_service.get(call.service.name, ())
         candidates = [
-            e for e in endpoints if _serves_model(e, call.terms.prompt)
+            e for e in endpoints if _serves_model(e, call.options.prompt)
         ]
         engine = call.service.engine
         endpoint = self.chooser.choose(
-            *(candidates, call.terms.prompt, call.tried, now, call.cache_salt),
+            *(
+                candidates,
+                call.options.prompt,
+                call.tried,
+                now,
+                call.cache_salt,
+            ),
             memory_tokens=engine.memory_tokens if engine else 0,
         )
         if endpoint is None:
@@ -156,11 +162,13 @@
         Raises:
             ExchangeError: Nothing was sent.
         """
-        prompt = call.terms.prompt
+        prompt = call.options.prompt
         cached_tokens = self._cached_tokens(call, endpoint)
-        terms = self._send_terms(call, endpoint, cached_tokens, last_event_id)
-        headers = self.dialect.endpoint_headers(call.req, terms)
-        request_id = call.terms.request_id
+        options = self._send_options(
+            call, endpoint, cached_tokens, last_event_id
+        )
+        headers = self.dialect.endpoint_headers(call.req, options)
+        request_id = call.options.request_id
         exchange = self._pool.exchange(
             endpoint.address,
             attrs.evolve(call.req, headers=headers),
@@ -178,10 +186,10 @@
             sends=call.send_count,
             shared_tokens=prompt.shared_tokens if prompt else 0,
             held_tokens=cached_tokens,
-            fetch=terms.fetch_from,
-            save=terms.save_to,
+            fetch=options.fetch_from,
+            save=options.save_to,
             resume=last_event_id,
-            left_ms=round(terms.limit_s * 1000),
+            left_ms=round(options.limit_s * 1000),
         )
         return exchange
 
@@ -191,40 +199,40 @@
                 RetryReason.CONNECT_REFUSED, reason.value, written=False
             )
 
-    def _send_terms(
+    def _send_options(
         self,
         call: Call,
         endpoint: Endpoint,
         cached_tokens: int,
         last_event_id: str,
-    ) -> SendTerms:
-        terms = SendTerms(
+    ) -> SendOptions:
+        options = SendOptions(
             instance_id=endpoint.id,
             limit_s=max(0.001, call.deadline - self.clock.now()),
             customer=call.customer.name if call.customer else "",
-            last_event_id=last_event_id or call.terms.last_event_id,
+            last_event_id=last_event_id or call.options.last_event_id,
         )
-        if call.terms.prompt is not None:
-            terms = attrs.evolve(
+        if call.options.prompt is not None:
+            options = attrs.evolve(
                 self._with_cache_transfers(
-                    call, endpoint, cached_tokens, terms
+                    call, endpoint, cached_tokens, options
                 ),
                 weights_version=endpoint.weights_version,
                 cache_salt=call.cache_salt(endpoint),
                 urgency=urgency(call),
             )
-        return terms
+        return options
 
     def _with_cache_transfers(
         self,
         call: Call,
         endpoint: Endpoint,
         cached_tokens: int,
-        terms: SendTerms,
-    ) -> SendTerms:
+        options: SendOptions,
+    ) -> SendOptions:
         """Adds the source of cached parts and the store that saves them."""
         prompt, salt, now = (
-            call.terms.prompt,
+            call.options.prompt,
             call.cache_salt(endpoint),
             self.now(),
         )
@@ -241,21 +249,21 @@
                 missing = stored_tokens < prompt.shared_tokens
                 if missing and limiter.allow(prompt, salt, now):
                     save_to = address
-        return attrs.evolve(terms, fetch_from=source, save_to=save_to)
+        return attrs.evolve(options, fetch_from=source, save_to=save_to)
 
     def unread_tokens(self, call: Call, endpoint: Endpoint) -> int:
         """Returns the prompt tokens that a runner has to prefill."""
-        prompt = call.terms.prompt
+        prompt = call.options.prompt
         if prompt is None:
             return 0
         return prompt.tokens - self._cached_tokens(call, endpoint)
 
     def _cached_tokens(self, call: Call, endpoint: Endpoint) -> int:
         """Returns the leading prompt tokens that a runner has cached."""
-        if call.terms.prompt is None:
+        if call.options.prompt is None:
             return 0
         return self.index.parts_at(endpoint.address).prefix_tokens(
-            call.terms.prompt, call.cache_salt(endpoint), self.now()
+            call.options.prompt, call.cache_salt(endpoint), self.now()
         )
 
     def _fetch_sources(self, call: Call, endpoint: Endpoint) -> list[str]:
@@ -284,7 +292,7 @@
         """Records that an endpoint rejected a request without running it."""
         now = self.clock.now()
         reason = RetryReason.ENDPOINT_REFUSED
-        if self.dialect.is_other_instance(head, endpoint.id):
+        if self.dialect.is_wrong_instance(head, endpoint.id):
             reason = RetryReason.WRONG_INCARNATION
             self.chooser.record_replaced(endpoint, now)
         else:
@@ -325,7 +333,7 @@
         self.metrics.count(f"retried.{failure.reason.value}")
         log(
             "attempt_ended",
-            request=call.terms.request_id,
+            request=call.options.request_id,
             endpoint=endpoint.id,
             weights=endpoint.weights_version,
             fate=failure.execution.value,
@@ -347,7 +355,7 @@
         self.record_end(call, RequestEnd.CALLER_LEFT)
         log(
             "caller_left",
-            request=call.terms.request_id,
+            request=call.options.request_id,
             route=call.route.name,
             tried=list(call.tried),
             left_ms=self._remaining_ms(call),
@@ -388,7 +396,7 @@
     def _log_refusal(self, call: Call, reason: str, status: int = 0) -> None:
         log(
             "request_given_up",
-            request=call.terms.request_id,
+            request=call.options.request_id,
             route=call.route.name,
             service=call.service.name,
             tried=list(call.tried),
@@ -420,7 +428,7 @@
         attempts, call = self._attempts, self._call
         self._unread_tokens = attempts.unread_tokens(call, self._endpoint)
         attempts.chooser.record_sent(
-            *(self._endpoint, call.terms.prompt, self._unread_tokens),
+            *(self._endpoint, call.options.prompt, self._unread_tokens),
             attempts.now(),
         )
         return self
@@ -428,7 +436,7 @@
     async def __aexit__(self, *exc_info) -> None:
         self.record_prompt_read()
         self._attempts.chooser.record_ended(
-            self._endpoint, self._call.terms.prompt
+            self._endpoint, self._call.options.prompt
         )
         if self.exchange is not None:
             with anyio.CancelScope(shield=True):
--- a/knapweedarch/proxy_calls.py
+++ b/knapweedarch/proxy_calls.py
@@ -6,7 +6,7 @@
 import attrs
 
 from knapweedarch.deployments import Customer, Route, Service
-from knapweedarch.dialects import CallerTerms
+from knapweedarch.dialects import CallerOptions
 from knapweedarch.http_messages import Request
 from knapweedarch.models import Endpoint, RefusalReason, RetryReason
 from knapweedarch.timers import Clock
@@ -48,7 +48,7 @@
 
     Attributes:
         req: The request as read from the caller.
-        terms: The caller's headers, decoded.
+        options: The caller's headers, decoded.
         route: The matching route.
         service: Service that the route assigned.
         customer: Customer of the key; None where no key is required.
@@ -60,7 +60,7 @@
     """
 
     req: Request
-    terms: CallerTerms
+    options: CallerOptions
     route: Route
     service: Service
     customer: Customer | None
--- a/knapweedarch/proxy_gateway.py
+++ b/knapweedarch/proxy_gateway.py
@@ -11,7 +11,7 @@
     Deployment,
     RouteTable,
 )
-from knapweedarch.dialects import CallerTerms, Dialect
+from knapweedarch.dialects import CallerOptions, Dialect
 from knapweedarch.http_inbound import Responder
 from knapweedarch.http_messages import Answer, Request
 from knapweedarch.logs import log
@@ -81,20 +81,20 @@
     async def handle(self, req: Request, responder: Responder) -> None:
         """Serves or refuses one request."""
         self._metrics.count("requests.started")
-        terms = self._dialect.read_terms(req)
+        options = self._dialect.read_options(req)
         if not self.started.is_set():
-            await self._wait_for_first_lease(terms)
-        match self._admit(req, terms):
+            await self._wait_for_first_lease(options)
+        match self._admit(req, options):
             case RefusalReason() as reason:
-                await self._refuse(terms, responder, reason)
+                await self._refuse(options, responder, reason)
             case Call() as call:
                 await self._serve(call, responder)
 
-    async def _wait_for_first_lease(self, terms: CallerTerms) -> None:
+    async def _wait_for_first_lease(self, options: CallerOptions) -> None:
         """Waits for the first lease of a process that has just started."""
         wait_s = FIRST_LEASE_WAIT_S
-        if terms.limit_s is not None:
-            wait_s = min(wait_s, FIRST_LEASE_WAIT_FRACTION * terms.limit_s)
+        if options.limit_s is not None:
+            wait_s = min(wait_s, FIRST_LEASE_WAIT_FRACTION * options.limit_s)
         with anyio.move_on_after(wait_s):
             await self.started.wait()
 
@@ -112,7 +112,9 @@
             if end is RequestEnd.CALLER_LEFT:
                 self._attempts.record_caller_left(call)
 
-    def _admit(self, req: Request, terms: CallerTerms) -> Call | RefusalReason:
+    def _admit(
+        self, req: Request, options: CallerOptions
+    ) -> Call | RefusalReason:
         """Resolves route and customer; returns the reason of a refusal."""
         if reason := self._may_start():
             return reason
@@ -122,14 +124,14 @@
             return RefusalReason.UNKNOWN_PATH
         customer: Customer | None = None
         if self.deployment.customers and not route.public:
-            customer = self._table.customer(terms.key)
+            customer = self._table.customer(options.key)
             if customer is None:
                 return RefusalReason.UNKNOWN_KEY
         name = self._table.choose_service(route, self._random.random())
-        limit_s = min(route.timeout_s, terms.limit_s or route.timeout_s)
+        limit_s = min(route.timeout_s, options.limit_s or route.timeout_s)
         return Call(
             req=req,
-            terms=terms,
+            options=options,
             route=route,
             service=self._table.service(name),
             customer=customer,
@@ -138,19 +140,22 @@
         )
 
     async def _refuse(
-        self, terms: CallerTerms, responder: Responder, reason: RefusalReason
+        self,
+        options: CallerOptions,
+        responder: Responder,
+        reason: RefusalReason,
     ) -> None:
         """Refuses a request before any attempt."""
         status = STATUS_BY_REASON.get(reason, 503)
         self._metrics.count(f"refused.{reason.value}")
         log(
             "request_refused_early",
-            request=terms.request_id,
+            request=options.request_id,
             reason=reason.value,
             status=status,
             deployment=self.deployment.version,
         )
         headers = ()
         if status == 503:
-            headers = (retry_after_header(terms.limit_s or 1.0, reason),)
+            headers = (retry_after_header(options.limit_s or 1.0, reason),)
         await responder.send(Answer(status=status, headers=headers))
--- a/knapweedarch/proxy_streams.py
+++ b/knapweedarch/proxy_streams.py
@@ -7,7 +7,7 @@
 from knapweedarch.event_stream import EventSplitter
 from knapweedarch.exceptions import ExchangeError
 from knapweedarch.http_inbound import Responder
-from knapweedarch.http_messages import Answer, end_to_end
+from knapweedarch.http_messages import Answer, end_to_end_headers
 from knapweedarch.http_outbound import AnswerHead, Exchange
 from knapweedarch.logs import log
 from knapweedarch.models import Endpoint, RequestEnd, RetryReason
@@ -48,7 +48,7 @@
         end = await self._run()
         log(
             "stream_ended",
-            request=call.terms.request_id,
+            request=call.options.request_id,
             route=call.route.name,
             outcome=end.value,
             status=self._status,
@@ -156,7 +156,7 @@
         await self._responder.send(
             Answer(
                 status=answer.status,
-                headers=end_to_end(answer.headers),
+                headers=end_to_end_headers(answer.headers),
                 body=answer.body,
             )
         )
@@ -168,7 +168,9 @@
         splitter = EventSplitter()
         if not self._responder.started:
             self._status = head.status
-            await self._responder.start(head.status, end_to_end(head.headers))
+            await self._responder.start(
+                head.status, end_to_end_headers(head.headers)
+            )
         while (part := await self._read(scope.exchange)) is not None:
             self._attempts.record_activity(endpoint.address)
             events = splitter.feed(part)
--- a/knapweedarch/proxy_unary.py
+++ b/knapweedarch/proxy_unary.py
@@ -3,7 +3,7 @@
 import functools
 
 from knapweedarch.http_inbound import Responder
-from knapweedarch.http_messages import Answer, end_to_end
+from knapweedarch.http_messages import Answer, end_to_end_headers
 from knapweedarch.logs import log
 from knapweedarch.models import Endpoint, RequestEnd
 from knapweedarch.proxy_attempts import (
@@ -30,7 +30,7 @@
     await responder.send(answer)
     log(
         "request_answered",
-        request=call.terms.request_id,
+        request=call.options.request_id,
         route=call.route.name,
         status=answer.status,
         tried=list(call.tried),
@@ -97,6 +97,6 @@
         attempts.chooser.record_success(endpoint, lateness_s, now)
     return Answer(
         status=answer.status,
-        headers=end_to_end(answer.headers),
+        headers=end_to_end_headers(answer.headers),
         body=answer.body,
     )
--- a/knapweedarch/services.py
+++ b/knapweedarch/services.py
@@ -16,7 +16,7 @@
 import anyio
 import attrs
 
-from knapweedarch.adapters import ServiceAnswer
+from knapweedarch.adapters import ServiceResponse
 from knapweedarch.background import BackgroundTasks
 from knapweedarch.callers import JSON_TYPE, Call, RefusedError, send_refusal
 from knapweedarch.exceptions import ControlError, EndpointError
@@ -174,7 +174,7 @@
         service_call: ServiceCall,
         limit_s: float,
         may_send_now: Callable[[], RefusalReason | None],
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         attempt_id = f"{self._router.incarnation}/s{next(self._numbers)}"
         try:
             return await self._router.adapter.call_service(
@@ -209,7 +209,7 @@
 
     async def _send_with_retries(
         self, service_call: ServiceCall
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         """Tries the endpoints in order, within the retry budget."""
         endpoints = self._endpoints(service_call)
         self._retry_budget.record_first_attempt()
@@ -245,7 +245,7 @@
 
     async def _run_at_most_once(
         self, service_call: ServiceCall
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         """Runs a call at most once across all routers.
 
         Raises:
@@ -281,7 +281,7 @@
 
     async def _reserve_and_send(
         self, service_call: ServiceCall
-    ) -> ServiceAnswer | None:
+    ) -> ServiceResponse | None:
         """Reserves and sends a call; returns None if it is already running."""
         holder = f"{self._router.incarnation}/{next(self._numbers)}"
         epoch = self._router.lease_epoch()
@@ -327,7 +327,7 @@
 
     async def _send_reserved(
         self, service_call: ServiceCall, holder: str, epoch: int
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         settle = Settle(service_call.record_key, holder, None)
         for endpoint in self._router.service_endpoints(service_call.rule.name):
             try:
@@ -378,7 +378,7 @@
 
 def _recorded_answer(
     record: Record, service_call: ServiceCall
-) -> ServiceAnswer | None:
+) -> ServiceResponse | None:
     """Returns the recorded response, or None while the call is running."""
     if record.body_digest != service_call.digest:
         raise RefusedError(
@@ -387,7 +387,7 @@
         )
     match record.status:
         case RecordStatus.DONE:
-            return ServiceAnswer(
+            return ServiceResponse(
                 record.code, record.content_type, record.answer
             )
         case RecordStatus.UNKNOWN:
@@ -395,11 +395,11 @@
     return None
 
 
-def _settle_with_answer(settle: Settle, answer: ServiceAnswer) -> Settle:
+def _settle_with_answer(settle: Settle, answer: ServiceResponse) -> Settle:
     """Adds the response, or an error if it is too large to be recorded."""
     if answer.too_large or len(answer.body) > MAX_STORED_BYTES:
         refused = answer_too_large_error(MAX_STORED_BYTES)
-        answer = ServiceAnswer(refused.code, JSON_TYPE, refused.body())
+        answer = ServiceResponse(refused.code, JSON_TYPE, refused.body())
     return attrs.evolve(
         settle,
         status=RecordStatus.DONE,
@@ -409,7 +409,7 @@
     )
 
 
-def _check_size(answer: ServiceAnswer) -> ServiceAnswer:
+def _check_size(answer: ServiceResponse) -> ServiceResponse:
     if answer.too_large:
         raise answer_too_large_error()
     return answer
--- a/knapweedarch/transports.py
+++ b/knapweedarch/transports.py
@@ -14,20 +14,20 @@
 import attrs
 import httpx
 
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 # Below the 5 s after which hypercorn and most servers close idle connections.
-KEEP_ALIVE_S = 2.0
+KEEP_ALIVE_EXPIRY_S = 2.0
 MAX_CONNECTIONS = 512
 MAX_POOLS = 1024
-SEND_STARTS = "http11.send_request_headers.started"
+SEND_STARTED = "http11.send_request_headers.started"
 
 # Endpoints have plain HTTP URLs; a context without certificates refuses all
 # others and saves the 35 ms that httpx takes to load the usual certificates.
-_TLS = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
+_TLS_CONTEXT = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
 
 
 @attrs.define
-class Body(httpx.AsyncByteStream):
+class ResponseBody(httpx.AsyncByteStream):
     """Body of an answer, read part by part.
 
     Attributes:
@@ -35,15 +35,15 @@
     """
 
     _response: httpx.Response
-    _parts: AsyncIterator[bytes]
+    _chunks: AsyncIterator[bytes]
     complete: bool = False
 
-    def __aiter__(self) -> "Body":
+    def __aiter__(self) -> "ResponseBody":
         return self
 
     async def __anext__(self) -> bytes:
         try:
-            return await anext(self._parts)
+            return await anext(self._chunks)
         except StopAsyncIteration:
             self.complete = True
             raise
@@ -66,7 +66,7 @@
 
     def __init__(self):
         self._pools: OrderedDict[str, httpx.AsyncHTTPTransport] = OrderedDict()
-        self._single = _create_pool(keep_alive=0)
+        self._unpooled = _create_pool(keep_alive=0)
 
     async def handle_async_request(
         self, request: httpx.Request
@@ -80,21 +80,24 @@
         before_send: Callable[[], None] = request.extensions["before_send"]
 
         async def trace(name: str, info: dict) -> None:
-            if name == SEND_STARTS:
+            if name == SEND_STARTED:
                 before_send()
 
-        pool = self._single
+        pool = self._unpooled
         if not request.extensions.get("own_connection"):
             pool = await self._pool(f"{request.url.host}:{request.url.port}")
         request.extensions = {
             "trace": trace,
-            "timeout": {"connect": CONNECT_S, "pool": CONNECT_S},
+            "timeout": {
+                "connect": CONNECT_TIMEOUT_S,
+                "pool": CONNECT_TIMEOUT_S,
+            },
         }
         response = await pool.handle_async_request(request)
         return httpx.Response(
             response.status_code,
             headers=response.headers,
-            stream=Body(response, aiter(response.stream)),
+            stream=ResponseBody(response, aiter(response.stream)),
         )
 
     async def _pool(self, origin: str) -> httpx.AsyncHTTPTransport:
@@ -104,13 +107,13 @@
             pool = self._pools[origin] = _create_pool(MAX_CONNECTIONS)
         self._pools.move_to_end(origin)
         while len(self._pools) > MAX_POOLS:
-            _, dropped = self._pools.popitem(last=False)
-            await dropped.aclose()
+            _, evicted = self._pools.popitem(last=False)
+            await evicted.aclose()
         return pool
 
     async def aclose(self) -> None:
         """Closes every connection."""
-        for pool in (*self._pools.values(), self._single):
+        for pool in (*self._pools.values(), self._unpooled):
             await pool.aclose()
         self._pools.clear()
 
@@ -119,6 +122,8 @@
     limits = httpx.Limits(
         max_connections=MAX_CONNECTIONS,
         max_keepalive_connections=keep_alive,
-        keepalive_expiry=KEEP_ALIVE_S,
+        keepalive_expiry=KEEP_ALIVE_EXPIRY_S,
+    )
+    return httpx.AsyncHTTPTransport(
+        verify=_TLS_CONTEXT, trust_env=False, limits=limits
     )
-    return httpx.AsyncHTTPTransport(verify=_TLS, trust_env=False, limits=limits)
