--- a/knapweedarch/adapters.py
+++ b/knapweedarch/adapters.py
@@ -1,9 +1,10 @@
 """Calls to endpoints over HTTP.
 
-Every exchange that is cancelled, late, crossed or incomplete closes its
-connection, so that no later exchange can read its rest. Calls that may run at
-most once get a connection of their own: a pooled one may be closed by the
-endpoint at the moment of the send, and the outcome would then be unknown.
+The connection is closed after every exchange that is cancelled, times out, is
+incomplete or gets the response to another request, so that no later exchange
+can read leftover bytes. Calls that must run at most once use a new connection:
+the endpoint may close a pooled one while the request is sent, which would leave
+the outcome unknown.
 """
 
 import contextlib
@@ -47,13 +48,13 @@
 
 @attrs.frozen
 class ServiceResponse:
-    """Whole answer of a plain service.
+    """Complete response of a plain service.
 
     Attributes:
-        code: HTTP status.
+        code: HTTP status code.
         content_type: Media type.
         body: Body; empty if it was too large.
-        too_large: Whether the body exceeded `MAX_ANSWER_BYTES`.
+        too_large: Whether the body exceeded `MAX_RESPONSE_BYTES`.
     """
 
     code: int
@@ -64,7 +65,7 @@
 
 @attrs.frozen
 class LoadWeights:
-    """Orders a runner to load a model in a version."""
+    """Order to load a version of a model."""
 
     model: str
     version: str
@@ -72,7 +73,7 @@
 
 @attrs.frozen
 class ChangeRole:
-    """Orders a runner to change its role."""
+    """Order to change the runner's role."""
 
     role: str
 
@@ -105,19 +106,19 @@
         may_send: MaySend,
         first_event_s: float,
     ) -> AsyncIterator[ChatStream]:
-        """Starts an attempt at a runner.
+        """Sends a chat request to a runner and opens the response stream.
 
         Args:
             attempt: The attempt.
             body: JSON body for the runner.
-            request_id: Echoed by the runner.
-            attempt_id: Echoed by the runner.
-            may_send: Asked right before the first byte is written.
-            first_event_s: Longest wait for the first event in seconds.
+            request_id: Request id that the response must carry.
+            attempt_id: Attempt id that the response must carry.
+            may_send: Called right before the first byte is written.
+            first_event_s: Timeout for the first event in seconds.
 
         Raises:
-            EndpointError: The runner did not take the request.
-            SendRefusedError: `may_send` refused.
+            EndpointError: The runner did not accept the request.
+            SendRefusedError: `may_send` returned a reason to refuse.
         """
         ticket, endpoint = attempt.ticket, attempt.endpoint
         headers = {
@@ -151,21 +152,22 @@
         may_send: MaySend,
         own_connection: bool = False,
     ) -> ServiceResponse:
-        """Calls a plain service and reads its whole answer.
+        """Calls a plain service and reads the complete response.
 
         Args:
             endpoint: The service.
             method: HTTP method.
-            path: Path with query, already quoted.
-            headers: Headers; `x-request-id` must come back in the answer.
-            body: Body.
-            timeout_s: Longest wait for the whole answer in seconds.
-            may_send: Asked right before the first byte is written.
-            own_connection: Do not use a pooled connection.
+            path: Path with query, already percent-encoded.
+            headers: Request headers; the response must repeat the value of
+                `x-request-id`.
+            body: Request body.
+            timeout_s: Timeout for the complete response in seconds.
+            may_send: Called right before the first byte is written.
+            own_connection: Whether to use a new connection, not a pooled one.
 
         Raises:
-            EndpointError: There is no whole answer to this request.
-            SendRefusedError: `may_send` refused.
+            EndpointError: No complete response to this request was received.
+            SendRefusedError: `may_send` returned a reason to refuse.
         """
         exchange = self._exchange(method, endpoint.url + path, headers, body)
         exchange.request.extensions["own_connection"] = own_connection
@@ -175,18 +177,19 @@
                     return await self._read_response(exchange)
         except TimeoutError as exc:
             raise exchange.create_error(
-                RetryReason.FIRST_TOKEN_TIMEOUT, f"no answer in {timeout_s} s"
+                RetryReason.FIRST_TOKEN_TIMEOUT,
+                f"no complete response within {timeout_s} s",
             ) from exc
 
     async def follow_feed(self, endpoint: Endpoint) -> AsyncIterator[FeedItem]:
         """Yields load reports and cache events until the feed ends.
 
-        The first cache item is a snapshot. After a gap in the numbers the
-        event that shows it is yielded, and then the feed fails, since a new
-        one begins with a snapshot.
+        The first cache item is a snapshot. If event numbers are missing, the
+        event after the gap is still yielded before the feed fails; a new feed
+        starts with a snapshot.
 
         Raises:
-            EndpointError: The feed broke, was silent or has a gap.
+            EndpointError: The feed failed, timed out or has a gap.
         """
         headers = {"x-router": self._incarnation}
         exchange = self._exchange("GET", endpoint.url + "/feed", headers, b"")
@@ -207,7 +210,7 @@
                     if expected is not None and item.number != expected + 1:
                         raise exchange.create_error(
                             RetryReason.STREAM_GAP,
-                            f"event {item.number} follows {expected}",
+                            f"event {item.number} follows event {expected}",
                         )
                 else:
                     yield item
@@ -215,10 +218,10 @@
     async def cancel(
         self, endpoint: Endpoint, request_id: str, attempt_id: str
     ) -> None:
-        """Tells a runner that an attempt is no longer wanted.
+        """Cancels an attempt at a runner.
 
         Raises:
-            EndpointError: The runner did not confirm.
+            EndpointError: The runner did not confirm the cancellation.
         """
         body = {"request_id": request_id, "attempt_id": attempt_id}
         await self._post(endpoint, "/cancel", {}, body, CANCEL_TIMEOUT_S)
@@ -226,10 +229,10 @@
     async def order(
         self, endpoint: Endpoint, order: Order, fencing_number: int
     ) -> None:
-        """Gives an order to a runner.
+        """Sends an order to a runner.
 
         Raises:
-            EndpointError: The runner refused or did not confirm.
+            EndpointError: The runner refused the order or did not confirm it.
         """
         match order:
             case LoadWeights(model=model, version=version):
@@ -277,7 +280,7 @@
     async def _check_chat_response(
         self, exchange: Exchange, request_id: str, attempt_id: str
     ) -> None:
-        """Checks that the answer is a stream for this attempt."""
+        """Checks that the response is a stream for this attempt."""
         code = exchange.response.status_code
         response_ids = (
             exchange.header("x-request-id"),
@@ -289,10 +292,12 @@
             code == 200 or any(response_ids)
         ):
             raise exchange.create_error(
-                RetryReason.CROSSED_ANSWER, f"an answer for {response_ids} came"
+                RetryReason.CROSSED_ANSWER,
+                f"response carries the ids {response_ids}",
             )
         reason = RetryReason.ENDPOINT_ERROR
-        # Only a refusal of this very attempt tells that it was not run.
+        # Only a 4xx response with this attempt's ids proves that it did not
+        # run.
         if 400 <= code < 500 and any(response_ids):
             reason = await self._read_refusal_reason(exchange)
         raise exchange.create_error(reason, f"status {code}")
@@ -315,11 +320,12 @@
         if sent_id and response_id != sent_id:
             raise exchange.create_error(
                 RetryReason.CROSSED_ANSWER,
-                f"an answer for {response_id!r} came",
+                f"response carries the request id {response_id!r}",
             )
         if not has_framing(exchange.response):
             raise exchange.create_error(
-                RetryReason.STREAM_TRUNCATED, "the answer has no length"
+                RetryReason.STREAM_TRUNCATED,
+                "response has neither a length nor chunked encoding",
             )
         try:
             body = await read_body(exchange, MAX_RESPONSE_BYTES)
@@ -352,7 +358,7 @@
             except TimeoutError as exc:
                 raise exchange.create_error(
                     RetryReason.STREAM_SILENT,
-                    f"the feed was silent for {FEED_TIMEOUT_S} s",
+                    f"no feed data for {FEED_TIMEOUT_S} s",
                 ) from exc
             except httpx.HTTPError as exc:
                 raise exchange.create_error(
@@ -365,7 +371,7 @@
                 StreamProtocolError,
             ) as exc:
                 raise exchange.create_error(
-                    RetryReason.ENDPOINT_ERROR, f"unreadable feed: {exc!r}"
+                    RetryReason.ENDPOINT_ERROR, f"malformed feed event: {exc!r}"
                 ) from exc
             for item in items:
                 yield item
@@ -378,8 +384,8 @@
 
     Args:
         credential: The shared endpoint credential.
-        clock: Clock of the router.
-        incarnation: Incarnation of the router; runners then tell which of its
-            attempts a load report includes.
+        clock: The router's clock.
+        incarnation: Incarnation of the router, with which runners state which
+            of its attempts a load report includes.
     """
     return Adapter(credential, clock, incarnation)
--- a/knapweedarch/dialects.py
+++ b/knapweedarch/dialects.py
@@ -1,4 +1,4 @@
-"""What the proxy asks of the adapter that knows the headers of a platform."""
+"""Interface between the proxy and the codec of a platform's HTTP headers."""
 
 from typing import Protocol
 
@@ -11,15 +11,15 @@
 
 @attrs.frozen(kw_only=True)
 class CallerOptions:
-    """What a caller says of its request.
+    """Options that a caller sets in the headers of its request.
 
     Attributes:
-        request_id: Identity of this attempt of the caller.
-        key: Key that it shows; empty if none.
-        limit_s: How long it waits in seconds; None if it does not tell.
-        last_event_id: Last event that it has of a broken stream; empty if it
-            asks for the whole.
-        prompt: The prompt; None where the request runs on no model.
+        request_id: Id of this attempt of the caller.
+        key: API key; empty if none.
+        limit_s: Time limit in seconds; None if not set.
+        last_event_id: Id of the last event received of an interrupted stream;
+            empty for a new stream.
+        prompt: The prompt; None if the request names no model.
     """
 
     request_id: str
@@ -31,18 +31,20 @@
 
 @attrs.frozen(kw_only=True)
 class SendOptions:
-    """What an endpoint is told beside the caller's request.
+    """Options that the proxy adds to the request for an endpoint.
 
     Attributes:
-        instance_id: Endpoint that is meant; any other refuses.
-        limit_s: Time left in seconds.
-        customer: Name of the customer; empty without one.
-        weights_version: Weights that are meant; empty for plain services.
-        cache_salt: Text under which cached parts are found.
-        urgency: Rank at the runner, 0 to 9, 0 first; None leaves it out.
-        fetch_from: Address that holds cached parts; empty without one.
-        save_to: Address of the store that takes the parts; empty without.
-        last_event_id: Last event that the caller has; empty for the whole.
+        instance_id: Id of the intended endpoint; any other refuses the request.
+        limit_s: Remaining time in seconds.
+        customer: Name of the customer; empty if none.
+        weights_version: Expected weights; empty for plain services.
+        cache_salt: Salt of the keys of cached parts.
+        urgency: Urgency at the runner, 0 to 9, where 0 is served first; None
+            for no header.
+        fetch_from: Address to fetch cached parts from; empty if none.
+        save_to: Address of the store to save the parts in; empty if none.
+        last_event_id: Id of the last event that the caller has; empty for a
+            new stream.
     """
 
     instance_id: str
@@ -57,19 +59,19 @@
 
 
 class Dialect(Protocol):
-    """Headers of a platform, decoded and encoded."""
+    """Decodes and encodes the headers of a platform."""
 
     def read_options(self, req: Request) -> CallerOptions:
         """Decodes the headers of a caller's request."""
 
     def endpoint_headers(self, req: Request, options: SendOptions) -> Headers:
-        """Returns the headers of the request that an endpoint gets."""
+        """Returns the headers of the request to an endpoint."""
 
     def is_answer_to(self, headers: Headers, request_id: str) -> bool:
-        """Tells whether an answer belongs to a request."""
+        """Tells whether the headers of a response match a request id."""
 
     def was_not_run(self, head: AnswerHead) -> bool:
-        """Tells whether an endpoint says that it did not run the request."""
+        """Tells whether the endpoint states that the request did not run."""
 
     def is_wrong_instance(self, head: AnswerHead, instance_id: str) -> bool:
-        """Tells whether another instance than the one meant has answered."""
+        """Tells whether an instance other than the intended one answered."""
--- a/knapweedarch/event_stream.py
+++ b/knapweedarch/event_stream.py
@@ -1,22 +1,22 @@
-"""Cuts a `text/event-stream` body into whole events."""
+"""Splits a `text/event-stream` body into complete events."""
 
 import re
 
 import attrs
 
-# An event ends with an empty line; lines may end in CR, LF or both.
+# An event ends with an empty line; a line ends with CR, LF or CRLF.
 EVENT_END = re.compile(rb"(?:\r\n|\r|\n)(?:\r\n|\r|\n)")
 ID_LINE = re.compile(rb"^id:[ ]?([^\r\n]*)$", re.MULTILINE)
 
 
 @attrs.frozen
 class EventBatch:
-    """Whole events.
+    """Complete events.
 
     Attributes:
-        data: Their bytes.
-        count: How many there are.
-        last_id: Id of the last one that has one; empty if none has.
+        data: Bytes of the events.
+        count: Number of events.
+        last_id: Id of the last event that has one; empty if none has.
     """
 
     data: bytes = b""
@@ -25,17 +25,17 @@
 
 
 class EventSplitter:
-    """Collects bytes until events are whole.
+    """Buffers bytes until events are complete.
 
-    A stream that breaks off within an event can then go on with the same
-    event from another runner.
+    A stream that is interrupted within an event can then be resumed with the
+    same event from another runner.
     """
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes) -> EventBatch:
-        """Takes bytes; returns the events that are whole now."""
+        """Adds bytes; returns the events that they complete."""
         self._buffer += data
         ends = [m.end() for m in EVENT_END.finditer(self._buffer)]
         if not ends:
@@ -49,5 +49,5 @@
         return EventBatch(complete, len(ends), last_id)
 
     def rest(self) -> bytes:
-        """Returns the bytes after the last whole event."""
+        """Returns the bytes after the last complete event."""
         return self._buffer
--- a/knapweedarch/exchanges.py
+++ b/knapweedarch/exchanges.py
@@ -1,6 +1,6 @@
 """One HTTP exchange with an endpoint.
 
-An exchange knows whether any byte of its request may have left this process.
+An exchange records whether any byte of its request may have left this process.
 """
 
 import contextlib
@@ -18,10 +18,10 @@
 
 
 class SendRefusedError(EndpointError):
-    """The router may not start work any more; nothing was written.
+    """The router may no longer start work; nothing was written.
 
     Attributes:
-        refusal: Why.
+        refusal: Reason for the refusal.
     """
 
     def __init__(self, refusal: RefusalReason):
@@ -31,20 +31,29 @@
 
 @attrs.define
 class Exchange:
-    """One request and what is known about its fate."""
+    """One request and its response.
+
+    Attributes:
+        request: The request.
+        response: The response; None until its headers were received.
+        written: Whether any byte of the request may have left this process.
+    """
 
     request: httpx.Request
     response: httpx.Response | None = None
     written: bool = False
 
     def create_error(self, reason: RetryReason, message: str) -> EndpointError:
-        """Builds the error for a failure of this exchange."""
+        """Creates the error for a failure of this exchange.
+
+        If nothing was written, the reason becomes `CONNECT_REFUSED`.
+        """
         if not self.written:
             reason = RetryReason.CONNECT_REFUSED
         return EndpointError(reason.value, message, self.written)
 
     def header(self, name: str) -> str:
-        """Returns a header of the answer."""
+        """Returns a response header; empty if missing."""
         return self.response.headers.get(name, "") if self.response else ""
 
 
@@ -55,17 +64,17 @@
     may_send: MaySend,
     timeout_s: float,
 ) -> AsyncIterator[None]:
-    """Sends a request and, on leaving, gives up its connection.
+    """Sends a request; releases or closes its connection on exit.
 
     Args:
-        transport: Where to send it.
-        exchange: The exchange; gets the answer without its body.
-        may_send: Asked right before the first byte is written.
-        timeout_s: Longest wait for the head of the answer in seconds.
+        transport: Transport to send it with.
+        exchange: The exchange; its response is set, without the body.
+        may_send: Called right before the first byte is written.
+        timeout_s: Timeout for the response headers in seconds.
 
     Raises:
-        EndpointError: No answer came.
-        SendRefusedError: `may_send` refused.
+        EndpointError: No response was received.
+        SendRefusedError: `may_send` returned a reason to refuse.
     """
 
     def before_send() -> None:
@@ -81,7 +90,7 @@
             )
     except TimeoutError as exc:
         raise exchange.create_error(
-            RetryReason.FIRST_TOKEN_TIMEOUT, f"no answer in {timeout_s} s"
+            RetryReason.FIRST_TOKEN_TIMEOUT, f"no response within {timeout_s} s"
         ) from exc
     except httpx.HTTPError as exc:
         raise exchange.create_error(
@@ -90,12 +99,12 @@
     try:
         yield
     finally:
-        # Closes the connection unless the whole body was read.
+        # Closes the connection unless the body was read completely.
         await exchange.response.stream.aclose()
 
 
 def has_framing(response: httpx.Response) -> bool:
-    """Tells whether a cut-off body would be noticed."""
+    """Tells whether a truncated body can be detected."""
     return (
         response.status_code in (204, 304)
         or "content-length" in response.headers
@@ -104,7 +113,7 @@
 
 
 async def read_body(exchange: Exchange, max_bytes: int) -> bytes | None:
-    """Reads a whole body; returns None if it is longer than the limit."""
+    """Reads the complete body; returns None if it exceeds the limit."""
     body = bytearray()
     async for chunk in exchange.response.stream:
         body += chunk
--- a/knapweedarch/http_inbound.py
+++ b/knapweedarch/http_inbound.py
@@ -1,9 +1,10 @@
 """HTTP/1.1 server of the proxy, on h11.
 
-The web server of the callers' interface hides when a caller's connection
-ends, what was read of a request, and when a connection may be closed without
-losing one. A proxy that must tell "not read" from "run" needs all three, so
-this module drives h11, which that server is built on, itself.
+Hypercorn, the web server of the router's interface, does not expose when a
+caller's connection ends, how much of a request was read, and when a connection
+can be closed without losing a request. The proxy needs all three to distinguish
+"not read" from "run", so this module uses h11, hypercorn's HTTP/1.1 library,
+directly.
 """
 
 import contextlib
@@ -20,8 +21,8 @@
 from knapweedarch.timers import Clock
 
 READ_BYTES = 65_536
-# A closed connection with unread bytes is reset and the last answer lost, so
-# the peer gets this long to close its side first.
+# Closing a connection with unread bytes resets it and loses the last response,
+# so the peer gets this long to close its side first.
 LINGER_TIMEOUT_S = 1.0
 STREAM_ERRORS = (
     OSError,
@@ -34,14 +35,18 @@
 
 
 class Responder:
-    """Writes the answer to one request."""
+    """Writes the response to one request.
+
+    Attributes:
+        started: Whether the response has begun.
+    """
 
     def __init__(self, conn: "InboundConnection"):
         self._conn = conn
         self.started = False
 
     async def send(self, answer: Answer) -> None:
-        """Sends a whole answer.
+        """Sends a complete response.
 
         Raises:
             CallerGoneError: The caller's connection is closed.
@@ -56,9 +61,9 @@
     async def start(
         self, status: int, headers: Headers, first: bytes = b""
     ) -> None:
-        """Sends the head of an answer and the first bytes of its body.
+        """Sends the response headers and the first bytes of the body.
 
-        Without a content length the body is sent in chunks.
+        Without a content length the body is sent with chunked encoding.
 
         Raises:
             CallerGoneError: The caller's connection is closed.
@@ -67,7 +72,7 @@
         await self._conn.write_head(status, headers, first)
 
     async def write(self, data: bytes) -> None:
-        """Sends bytes of the body.
+        """Sends a part of the body.
 
         Raises:
             CallerGoneError: The caller's connection is closed.
@@ -75,7 +80,7 @@
         await self._conn.write(h11.Data(data))
 
     async def end(self) -> None:
-        """Ends a complete answer.
+        """Completes the response.
 
         Raises:
             CallerGoneError: The caller's connection is closed.
@@ -83,7 +88,7 @@
         await self._conn.write(h11.EndOfMessage())
 
     def abort(self) -> None:
-        """Breaks the connection off, so that no part looks complete."""
+        """Closes the connection, so that a partial response is detectable."""
         self._conn.abort()
 
 
@@ -117,14 +122,14 @@
                 await anyio.aclose_forcefully(self._stream)
 
     async def _serve_request(self) -> bool:
-        """Serves a request; tells whether another may follow."""
+        """Serves a request; returns whether another may follow."""
         try:
             req = await self._read_request()
         except h11.RemoteProtocolError as exc:
             await self._send_error(exc.error_status_hint, str(exc))
             return False
         except TimeoutError:
-            await self._send_error(408, "the request did not arrive in time")
+            await self._send_error(408, "timed out while reading the request")
             return False
         if req is None:
             return False
@@ -133,17 +138,18 @@
             await self._handle(req)
         finally:
             self._server.record_request_end(self)
-        # The answer may have begun before its head could tell of the end.
+        # A response that was started before the shutdown lacks the header
+        # `connection: close`.
         if self._aborted or self._server.refusing:
             return False
         return self._h11.our_state is h11.DONE
 
     async def _read_request(self) -> Request | None:
-        """Reads a request; returns None if the connection ends before it.
+        """Reads a request; returns None if the connection ends first.
 
         Raises:
-            TimeoutError: It did not arrive within the limits.
-            h11.RemoteProtocolError: It is malformed or too large.
+            TimeoutError: The request did not arrive within the time limits.
+            h11.RemoteProtocolError: The request is malformed or too large.
         """
         limits = self._server.limits()
         head = self._h11.next_event()
@@ -198,7 +204,8 @@
                         body += data
                         if len(body) > limits.body_bytes:
                             raise h11.RemoteProtocolError(
-                                "the body is too large", error_status_hint=413
+                                f"body exceeds {limits.body_bytes} bytes",
+                                error_status_hint=413,
                             )
                     case h11.EndOfMessage():
                         return bytes(body)
@@ -209,7 +216,7 @@
                             return None
 
     async def _receive(self) -> bool:
-        """Reads bytes; tells whether the caller's side is still open."""
+        """Reads bytes; returns whether the caller's side is still open."""
         try:
             data = await self._stream.receive(READ_BYTES)
         except STREAM_ERRORS:
@@ -218,7 +225,7 @@
         return True
 
     async def _handle(self, req: Request) -> None:
-        """Runs the handler and cancels it when the caller leaves."""
+        """Runs the handler; cancels it if the caller disconnects."""
         responder = Responder(self)
         async with anyio.create_task_group() as group:
             group.start_soon(self._watch_for_disconnect, group.cancel_scope)
@@ -227,7 +234,7 @@
             except CallerGoneError:
                 self._aborted = True
             except Exception as exc:
-                # One faulty request must not end the others.
+                # An error in one request must not end the others.
                 self._aborted = True
                 log("request_failed", reason=repr(exc), path=req.path)
             group.cancel_scope.cancel()
@@ -235,9 +242,9 @@
             self._aborted = True
 
     async def _watch_for_disconnect(self, scope: anyio.CancelScope) -> None:
-        """Reads on, since only that shows that the caller has left.
+        """Keeps reading, the only way to detect a disconnect.
 
-        A caller that sends a second request early is read up to one buffer.
+        At most one buffer of a pipelined request is read.
         """
         while len(self._h11.trailing_data[0]) < READ_BYTES:
             if not await self._receive():
@@ -249,7 +256,7 @@
     async def write_head(
         self, status: int, headers: Headers, first: bytes
     ) -> None:
-        """Sends the head of an answer, and the first bytes of its body."""
+        """Sends the response headers and the first bytes of the body."""
         if self._server.closing:
             headers = (*headers, (b"connection", b"close"))
         response = h11.Response(status_code=status, headers=list(headers))
@@ -259,7 +266,7 @@
         await self._send(data)
 
     async def write(self, event: h11.Event) -> None:
-        """Sends an event of the answer."""
+        """Sends an h11 event of the response."""
         await self._send(self._h11.send(event))
 
     async def _send(self, data: bytes | None) -> None:
@@ -274,7 +281,7 @@
             raise CallerGoneError("the caller closed the connection") from exc
 
     def abort(self) -> None:
-        """Makes the connection end without a complete answer."""
+        """Ends the connection without a complete response."""
         self._aborted = True
 
     async def _send_error(self, status: int, reason: str) -> None:
@@ -287,7 +294,7 @@
             await self.write(h11.EndOfMessage())
 
     async def _linger(self) -> None:
-        """Closes the own side and waits for the caller to close."""
+        """Closes the sending side and waits for the caller to close."""
         with (
             anyio.move_on_after(LINGER_TIMEOUT_S),
             contextlib.suppress(*STREAM_ERRORS),
@@ -298,42 +305,46 @@
 
 
 def _check_framing(headers: Headers) -> None:
-    """Refuses a request whose end can be read in two ways.
+    """Rejects a request whose length is ambiguous.
 
     Raises:
-        h11.RemoteProtocolError: Length and chunks are both given.
+        h11.RemoteProtocolError: There are both a length and a transfer
+            encoding.
     """
     names = {name.lower() for name, _ in headers}
     if {b"content-length", b"transfer-encoding"} <= names:
-        raise h11.RemoteProtocolError("two framings", error_status_hint=400)
+        raise h11.RemoteProtocolError(
+            "both content-length and transfer-encoding are set",
+            error_status_hint=400,
+        )
 
 
 def _check_size(head: h11.Request, limit: int) -> None:
-    """Refuses a head that is too large.
+    """Rejects headers that are too large.
 
-    The protocol library bounds only heads that arrive in several parts.
+    h11 checks the size only of headers that arrive in several parts.
 
     Raises:
-        h11.RemoteProtocolError: The head is larger than `limit` bytes.
+        h11.RemoteProtocolError: The headers exceed `limit` bytes.
     """
     size = len(head.method) + len(head.target)
     size += sum(len(name) + len(value) + 4 for name, value in head.headers)
     if size > limit:
         raise h11.RemoteProtocolError(
-            "the head is too large", error_status_hint=431
+            f"headers exceed {limit} bytes", error_status_hint=431
         )
 
 
 class InboundServer:
-    """Accepts callers and counts what is in progress.
+    """Accepts connections and counts active requests.
 
     Attributes:
         clock: Time source.
-        handler: Answers each request.
-        limits: Returns the limits of callers in force now.
-        closing: Whether answers tell callers to close their connection.
-        refusing: Whether connections end after the request in progress.
-        active: Requests in progress.
+        handler: Handles each request.
+        limits: Returns the current limits for callers.
+        closing: Whether responses have the header `connection: close`.
+        refusing: Whether connections end after the active request.
+        active: Number of active requests.
     """
 
     def __init__(
@@ -355,7 +366,7 @@
     async def serve(
         self, host: str, port: int, *, task_status=anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Accepts connections; serves them until cancelled."""
+        """Accepts and serves connections until cancelled."""
         listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port, backlog=1024
         )
@@ -376,27 +387,28 @@
                 del self._cancel_scopes[conn]
 
     def record_request_start(self, conn: InboundConnection) -> None:
-        """Notes that a request was read."""
+        """Records that a request was read."""
         self.active += 1
 
     def record_request_end(self, conn: InboundConnection) -> None:
-        """Notes that a request was answered or given up."""
+        """Records that a request was answered or cancelled."""
         self.active -= 1
         if not self.active:
             self._no_active_requests.set()
 
     def mark_idle(self, conn: InboundConnection) -> None:
-        """Notes that a connection waits for a request."""
+        """Records that a connection waits for a request."""
         self._idle.add(conn)
 
     def mark_busy(self, conn: InboundConnection) -> None:
-        """Notes that a connection waits no longer."""
+        """Records that a connection no longer waits for a request."""
         self._idle.discard(conn)
 
     def stop_accepting(self) -> None:
-        """Takes no new connection or request; what is in progress goes on.
+        """Stops accepting connections and requests; active ones continue.
 
-        A request that crosses the end of an idle connection was not read.
+        Idle connections are closed; a request that arrives at that moment is
+        not read.
         """
         self.closing = self.refusing = True
         self._accept_scope.cancel()
@@ -405,7 +417,7 @@
                 self._cancel_scopes[conn].cancel()
 
     async def drain(self, timeout_s: float) -> None:
-        """Waits until no request is in progress, within a limit."""
+        """Waits until no request is active, or until the timeout."""
         with anyio.move_on_after(timeout_s):
             while self.active:
                 self._no_active_requests = anyio.Event()
--- a/knapweedarch/http_messages.py
+++ b/knapweedarch/http_messages.py
@@ -1,11 +1,11 @@
-"""HTTP heads and bodies as the proxy passes them on."""
+"""HTTP messages as the proxy forwards them."""
 
 import attrs
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1), and
-# those that frame the body, which each side sets for itself.
+# Hop-by-hop headers (RFC 9110, section 7.6.1) and those that frame the body,
+# which are set anew for each connection.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         *(b"connection", b"keep-alive", b"proxy-connection", b"te"),
@@ -16,7 +16,7 @@
 
 
 def find_header(headers: Headers, name: bytes) -> bytes:
-    """Returns the first header of a name in lower case, or nothing."""
+    """Returns the first header with a lower-case name, or an empty value."""
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -24,7 +24,7 @@
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Drops the headers that concern one connection only."""
+    """Removes the hop-by-hop headers."""
     connection_options = find_header(headers, b"connection").lower().split(b",")
     hop_by_hop = HOP_BY_HOP_HEADERS.union(
         name.strip() for name in connection_options
@@ -34,14 +34,15 @@
 
 @attrs.frozen(kw_only=True)
 class Request:
-    """A whole request.
+    """A complete request.
 
     Attributes:
-        method: Method.
-        target: Path and query as sent.
-        headers: All headers as sent.
-        body: The whole body.
-        began_at: When its first byte was read, in seconds.
+        method: HTTP method.
+        target: Path and query as received.
+        headers: All headers as received.
+        body: The complete body.
+        began_at: When the first byte was read, in seconds on the server's
+            clock.
     """
 
     method: bytes
@@ -51,7 +52,7 @@
     began_at: float = 0.0
 
     def header(self, name: bytes) -> bytes:
-        """Returns the first header of a name in lower case, or nothing."""
+        """Returns the first header with a lower-case name, or empty."""
         return find_header(self.headers, name)
 
     @property
@@ -67,12 +68,12 @@
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """A whole answer.
+    """A complete response.
 
     Attributes:
         status: Status code.
         headers: Headers other than those that frame the body.
-        body: The whole body.
+        body: The complete body.
     """
 
     status: int
@@ -80,5 +81,5 @@
     body: bytes = b""
 
     def header(self, name: bytes) -> bytes:
-        """Returns the first header of a name in lower case, or nothing."""
+        """Returns the first header with a lower-case name, or empty."""
         return find_header(self.headers, name)
--- a/knapweedarch/http_outbound.py
+++ b/knapweedarch/http_outbound.py
@@ -1,8 +1,8 @@
 """HTTP/1.1 client of the proxy, on h11, with one pool per endpoint.
 
 An endpoint may answer twice, late, early, without a length or with bytes that
-are no answer. Each exchange therefore checks which request an answer belongs
-to, and tells exactly what is known about the fate of its own request.
+are not HTTP. Each exchange therefore checks which request an answer belongs to,
+and its errors state whether its own request may have been written.
 """
 
 import contextlib
@@ -22,12 +22,14 @@
 
 READ_BYTES = 65_536
 CONNECT_TIMEOUT_S = 0.35
-# An endpoint that names no time closes idle connections after some seconds.
+# Assumed idle timeout of endpoints that send no keep-alive timeout.
 DEFAULT_IDLE_S = 3.0
-# Taken off the time that an endpoint names: a request may cross its close.
+# Subtracted from the endpoint's idle timeout, since a request may cross the
+# close of the connection.
 IDLE_MARGIN_S = 0.6
 MAX_IDLE_PER_ADDRESS = 16
 MAX_MISMATCHED_ANSWERS = 4
+# Longer bodies are sent by a background task.
 MAX_INLINE_BODY_BYTES = 8_192
 STREAM_ERRORS = (
     OSError,
@@ -45,7 +47,7 @@
     idle_until: float = 0.0
 
     def has_no_input(self) -> bool:
-        """Tells whether nothing arrived, neither bytes nor an end."""
+        """Tells whether neither bytes nor an end of stream arrived."""
         sock = self.stream.extra(anyio.abc.SocketAttribute.raw_socket)
         poll = select.poll()
         poll.register(sock.fileno(), select.POLLIN)
@@ -54,7 +56,7 @@
 
 @attrs.define
 class AnswerHead:
-    """Head of an endpoint's answer.
+    """Status and headers of an endpoint's answer.
 
     Attributes:
         status: Status code.
@@ -65,7 +67,7 @@
     headers: Headers
 
     def header(self, name: bytes) -> bytes:
-        """Returns the first header of a name in lower case, or nothing."""
+        """Returns the first header with a lower-case name, or empty."""
         return find_header(self.headers, name)
 
 
@@ -97,10 +99,11 @@
         """Opens or reuses a connection.
 
         Args:
-            may_send: Called before the first byte; raises to prevent it.
+            may_send: Called before the first byte is written; an exception
+                prevents the send.
 
         Raises:
-            ExchangeError: No connection; nothing was written.
+            ExchangeError: The connection failed; nothing was written.
         """
         try:
             self._conn = await self._pool.acquire(self._address)
@@ -111,12 +114,13 @@
         may_send()
 
     async def answer(self) -> AnswerHead:
-        """Sends the request and reads the head of its answer.
+        """Sends the request and reads the status and headers of its answer.
 
         Raises:
-            ExchangeError: No answer came.
+            ExchangeError: No answer to this request was received.
         """
-        # The endpoint may answer before it has read a long body.
+        # The endpoint may answer before it has read a long body, so the answer
+        # is read meanwhile.
         if len(self._req.body) > MAX_INLINE_BODY_BYTES:
             self._pool.spawn(self._send_in_background)
         else:
@@ -127,7 +131,7 @@
                 return head
             await self._skip_mismatched_answer()
         raise self._create_error(
-            RetryReason.CROSSED_ANSWER, "only stray answers"
+            RetryReason.CROSSED_ANSWER, "answers belong to other requests"
         )
 
     async def _send_in_background(self) -> None:
@@ -146,7 +150,7 @@
             data += protocol.send(h11.Data(self._req.body))
         data += protocol.send(h11.EndOfMessage())
         self.written = True
-        # A failed write shows as a failed read, with what the endpoint said.
+        # After a failed write, reading returns an early answer or the error.
         with contextlib.suppress(*STREAM_ERRORS):
             await self._conn.stream.send(data)
             self._sent = True
@@ -160,21 +164,22 @@
                     continue
                 case event:
                     raise self._create_error(
-                        RetryReason.CONNECTION_CLOSED, f"no answer: {event!r}"
+                        RetryReason.CONNECTION_CLOSED,
+                        f"expected response headers, got {event!r}",
                     )
 
     async def _skip_mismatched_answer(self) -> None:
-        """Reads past the answer to another request.
+        """Reads and discards the answer to another request.
 
-        The protocol object takes it for the answer to this one, so what
-        follows is read by a fresh one that is told of the same request.
+        The h11 connection has matched it to this request, so the bytes that
+        follow are read with a new h11 connection in the same state.
         """
         while await self.read() is not None:
             pass
         trailing, closed = self._conn.protocol.trailing_data
         if closed or self._conn.protocol.their_state is not h11.DONE:
             raise self._create_error(
-                RetryReason.CROSSED_ANSWER, "a stray answer"
+                RetryReason.CROSSED_ANSWER, "answer belongs to another request"
             )
         protocol = h11.Connection(h11.CLIENT)
         protocol.send(
@@ -191,10 +196,10 @@
         self._complete = False
 
     async def read(self) -> bytes | None:
-        """Reads a part of the body; returns None at its end.
+        """Reads a part of the body; returns None at the end.
 
         Raises:
-            ExchangeError: The answer broke off.
+            ExchangeError: The answer ended early.
         """
         if self._complete:
             return None
@@ -206,7 +211,8 @@
                 return None
             case event:
                 raise self._create_error(
-                    RetryReason.CONNECTION_CLOSED, f"broke off: {event!r}"
+                    RetryReason.CONNECTION_CLOSED,
+                    f"answer ended early: {event!r}",
                 )
 
     async def _next_event(self) -> object:
@@ -216,7 +222,7 @@
             return event
         except h11.RemoteProtocolError as exc:
             raise self._create_error(
-                RetryReason.CONNECTION_CLOSED, f"not an answer: {exc}"
+                RetryReason.CONNECTION_CLOSED, f"invalid HTTP answer: {exc}"
             ) from exc
 
     async def _receive(self) -> bytes:
@@ -233,7 +239,12 @@
         return ExchangeError(reason, message, self.written)
 
     async def close(self, head: AnswerHead | None) -> None:
-        """Gives the connection back, or closes it unless it is clean."""
+        """Returns the connection to the pool if it is reusable, else closes it.
+
+        Args:
+            head: Status and headers of a complete answer; None closes the
+                connection.
+        """
         self._send_scope.cancel()
         conn, self._conn = self._conn, None
         if conn is None:
@@ -261,8 +272,8 @@
 class OutboundPool(TaskOwner):
     """Idle connections to endpoints, by address.
 
-    Use it as an asynchronous context manager; long bodies are sent by tasks
-    of its own.
+    Use it as an asynchronous context manager, which runs the tasks that send
+    long bodies.
     """
 
     def __init__(self, clock: Clock):
@@ -270,18 +281,18 @@
         self._idle: dict[str, list[_Connection]] = {}
 
     def spawn(self, task: Callable[[], Awaitable[None]]) -> None:
-        """Runs a task beside the exchanges."""
+        """Runs a background task."""
         self._group.start_soon(task)
 
     def exchange(
         self, address: str, req: Request, is_own: IsOwnAnswer
     ) -> Exchange:
-        """Prepares an exchange.
+        """Creates an exchange.
 
         Args:
-            address: IP number and port of the endpoint.
-            req: The request, with the headers that the endpoint gets.
-            is_own: Tells by its headers whether an answer is to `req`.
+            address: IP address and port of the endpoint.
+            req: The request, with the headers for the endpoint.
+            is_own: Tells from the headers whether an answer belongs to `req`.
         """
         return Exchange(self, address, req, is_own)
 
@@ -289,8 +300,8 @@
         """Returns an idle connection that is still open, or a new one.
 
         Raises:
-            OSError: The endpoint accepts no connection.
-            TimeoutError: It did not within `CONNECT_S`.
+            OSError: The connection failed.
+            TimeoutError: Connecting took longer than `CONNECT_TIMEOUT_S`.
         """
         idle = self._idle.get(address, [])
         while idle:
@@ -306,7 +317,7 @@
     async def release(
         self, address: str, conn: _Connection, head: AnswerHead
     ) -> None:
-        """Keeps a connection for the next request."""
+        """Keeps a connection for reuse, or closes it at the limits."""
         idle_s = _idle_limit_s(head)
         idle = self._idle.setdefault(address, [])
         conn.idle_until = self._clock.now() + idle_s
@@ -316,7 +327,7 @@
             await _close_connection(conn)
 
     async def close_expired(self) -> None:
-        """Closes connections that were idle for too long."""
+        """Closes connections whose idle time has expired."""
         now = self._clock.now()
         for address, idle in list(self._idle.items()):
             for conn in [c for c in idle if c.idle_until <= now]:
@@ -327,7 +338,7 @@
 
 
 def _idle_limit_s(head: AnswerHead) -> float:
-    """Returns for how many seconds a connection may stay idle."""
+    """Returns how long a connection may stay idle, in seconds."""
     for part in head.header(b"keep-alive").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
--- a/knapweedarch/http_server.py
+++ b/knapweedarch/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP server of a router: listener, limit of requests, graceful shutdown."""
+"""HTTP server of a router: listener, request limit and graceful shutdown."""
 
 import hmac
 import json
@@ -19,7 +19,7 @@
 
 COUNTERS_PATH = "/counters"
 CHAT_PATHS = "/v1/chat/"
-# Time in which the balancer sees that this router is no longer ready.
+# Time for the load balancer to notice that this router is no longer ready.
 READY_GRACE_S = 1.0
 SHUTDOWN_TIMEOUT_S = 1.0
 MAX_HEADER_BYTES = 32 * 1024
@@ -31,8 +31,8 @@
 
     Attributes:
         port: Port that the server listens on.
-        active: Requests in progress.
-        draining: Whether a graceful shutdown has begun.
+        active: Number of active requests.
+        draining: Whether a graceful shutdown is in progress.
         stopping: Whether new requests are refused.
     """
 
@@ -68,7 +68,7 @@
         return cfg
 
     async def run(self, app) -> None:
-        """Serves an ASGI application; returns after the graceful shutdown."""
+        """Serves an ASGI application until the graceful shutdown ends."""
         stop = anyio.Event()
         async with anyio.create_task_group() as group:
             group.start_soon(self._await_signal, stop)
@@ -80,7 +80,7 @@
             group.cancel_scope.cancel()
 
     def _count_requests(self, app):
-        """Wraps the application so that a drain knows what still runs."""
+        """Wraps the application to count active requests for the drain."""
 
         async def counted(scope, receive, send) -> None:
             if scope["type"] != "http":
@@ -100,25 +100,27 @@
         return counted
 
     def _is_full(self, path: str) -> bool:
-        """Tells whether a request finds no place.
+        """Tells whether a request exceeds the limit of active requests.
 
-        Only chat requests are refused as not run: a deposit may have run
-        before, and a leaving endpoint and the balancer must be answered.
+        Only chat requests are refused as not run. A retried service call may
+        have run before, and leaving endpoints and the load balancer must
+        always get a response.
         """
         at_limit = self.active >= self._settings.max_streams
         return at_limit and path.startswith(CHAT_PATHS)
 
     async def _refuse_full(self, scope, receive, send) -> None:
-        """Refuses before any byte of the body is read."""
+        """Refuses a request before any byte of its body is read."""
         self._metrics.count(f"refused.{RefusalReason.QUEUE_FULL.value}")
         await create_call(scope, receive, send).send_error(
             RefusedError(
-                RefusalReason.QUEUE_FULL, "too many requests are in progress"
+                RefusalReason.QUEUE_FULL,
+                "the limit of active requests is reached",
             )
         )
 
     async def _send_counters(self, scope, send) -> None:
-        """Answers an operator who holds the shared credential."""
+        """Sends the counters to an operator with the shared credential."""
         expected = f"Bearer {self._settings.credential}".encode()
         given = dict(scope["headers"]).get(b"authorization", b"")
         status, content = 200, dict(sorted(self._metrics.counts.items()))
@@ -145,7 +147,7 @@
             stop.set()
 
     async def _drain(self) -> None:
-        """Readiness first, then no new work, then wait for what runs."""
+        """Reports not ready, then refuses new work, then awaits active work."""
         log("drain_started", active=self.active)
         self.draining = True
         await anyio.sleep(READY_GRACE_S)
--- a/knapweedarch/transports.py
+++ b/knapweedarch/transports.py
@@ -1,9 +1,9 @@
 """Connections to endpoints: httpx's own transport, one pool per endpoint.
 
-Two things are added. The last check before a send runs after the connection
-is open and before the first byte. A connection goes back to its pool only
-after a complete answer; in every other case it is closed, so that no later
-exchange can read the rest of this one.
+This transport adds two guarantees. The final check before a send runs after
+the connection is open and before the first byte is written. A connection
+returns to its pool only after a complete response; in every other case it is
+closed, so that no later exchange can read leftover bytes.
 """
 
 import ssl
@@ -15,23 +15,24 @@
 import httpx
 
 CONNECT_TIMEOUT_S = 1.0
-# Below the 5 s after which hypercorn and most servers close idle connections.
+# Shorter than the 5 s after which hypercorn and most servers close idle
+# connections.
 KEEP_ALIVE_EXPIRY_S = 2.0
 MAX_CONNECTIONS = 512
 MAX_POOLS = 1024
 SEND_STARTED = "http11.send_request_headers.started"
 
-# Endpoints have plain HTTP URLs; a context without certificates refuses all
-# others and saves the 35 ms that httpx takes to load the usual certificates.
+# Endpoints have plain HTTP URLs. A context without certificates rejects HTTPS
+# and saves the 35 ms that httpx takes to load the default certificates.
 _TLS_CONTEXT = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
 
 
 @attrs.define
 class ResponseBody(httpx.AsyncByteStream):
-    """Body of an answer, read part by part.
+    """Response body, read in chunks.
 
     Attributes:
-        complete: Whether the whole body was read.
+        complete: Whether the body was read to its end.
     """
 
     _response: httpx.Response
@@ -57,11 +58,11 @@
 
 
 class EndpointTransport(httpx.AsyncBaseTransport):
-    """Pools of connections, one per endpoint.
+    """Connection pools, one per endpoint.
 
-    A request may carry the extension `before_send`, a function that is
-    called when the connection is open and before the first byte is written,
-    and the extension `own_connection` for one that no other exchange uses.
+    A request has the extension `before_send`, a function that is called once
+    the connection is open and before the first byte is written. With the
+    extension `own_connection` it uses a new connection that is not reused.
     """
 
     def __init__(self):
@@ -71,10 +72,10 @@
     async def handle_async_request(
         self, request: httpx.Request
     ) -> httpx.Response:
-        """Sends a request and reads the head of its answer.
+        """Sends a request and reads the response headers.
 
         Raises:
-            httpx.ConnectError: No connection; nothing was written.
+            httpx.ConnectError: The connection failed; nothing was written.
             httpx.TransportError: The exchange failed.
         """
         before_send: Callable[[], None] = request.extensions["before_send"]
@@ -101,7 +102,10 @@
         )
 
     async def _pool(self, origin: str) -> httpx.AsyncHTTPTransport:
-        """Returns the pool of an endpoint; drops the least recently used."""
+        """Returns the pool of an endpoint.
+
+        Above `MAX_POOLS`, the least recently used pool is closed.
+        """
         pool = self._pools.get(origin)
         if pool is None:
             pool = self._pools[origin] = _create_pool(MAX_CONNECTIONS)
