--- a/features/adapter.feature
+++ b/features/adapter.feature
@@ -1,16 +1,17 @@
 Feature: The platform's messages
 
   Scenario: A configuration is decoded once, into the project's types
-    Guards against names of the wire that stand for something else.
+    Guards against wire names decoded into the wrong field: several of them have
+    different meanings elsewhere.
     Given the platform's example configuration
     Then route "r-27eya6u" splits 90 to 10 and times out after 6 s
-    And route "r-6sz9frg" may be resumed and sends all to "huvo11a"
+    And route "r-6sz9frg" is resumable and sends all traffic to "huvo11a"
     And the store holds 600829 tokens in "sapporo-b"
     And customer "sese880" holds 2 keys and is isolated
-    And a configuration with unknown fields reads the same
+    And a configuration with unknown fields is decoded to the same value
 
   Scenario Outline: An invalid configuration is refused
-    Guards against a rule in force that nobody can keep.
+    Guards against a configuration in force that the proxies cannot apply.
     Given the platform's example configuration
     When <fault>
     Then the configuration is refused
@@ -23,14 +24,14 @@
       | the weights of a route add up to 0   |
       | a timeout is 0                       |
       | two customers share a key            |
-      | the version is a text                |
+      | the version is a string              |
       | the routes are missing               |
       | a weight is negative                 |
       | a prefix has no slash at its end     |
       | the body is a list                   |
 
   Scenario Outline: A heartbeat that cannot be read names no endpoint
-    Guards against requests to an endpoint that another writer made up.
+    Guards against requests sent to an endpoint from a malformed heartbeat.
     Given the platform's example heartbeat
     When its <field> is <value>
     Then the heartbeat is refused
@@ -47,14 +48,14 @@
       | born        | 1.5        |
 
   Scenario: A heartbeat is decoded into an endpoint
-    Guards against an incarnation that is not told apart from the one before.
+    Guards against a restarted endpoint that is taken for the one before it.
     Given the platform's example heartbeat
     When its born is 1700000000123
     Then the endpoint has incarnation "1700000000123" and weights "1"
     And the endpoint serves "huvo11a" and "daka510000"
 
   Scenario Outline: Cache events that cannot be read are refused
-    Guards against an index that a malformed event fills.
+    Guards against malformed events that enter the index of cached parts.
     When cache events with the row <row> arrive
     Then the cache events are refused
 
@@ -66,7 +67,7 @@
       | ["1", "+", "s", "p", 5, "m"]       |
 
   Scenario: The settings file is checked and unknown fields are ignored
-    Guards against a process that starts with half of its settings.
+    Guards against a process that starts with missing or invalid settings.
     Given the platform's settings of a core machine
     Then the member has 3 seeds, 5 voters and a lease of 3.5 s
     And a settings file without "portRange" is refused
@@ -75,18 +76,18 @@
     And a settings file with "faultBudget.machines" set to "two" is refused
 
   Scenario: A process takes over changed settings and survives SIGHUP
-    Guards against a signal that ends the process and cuts its requests.
-    Given a proxy process on the platform
-    When its settings name another seed and it gets SIGHUP
-    Then it logs that the settings are reloaded
-    When its settings file is emptied and it gets SIGHUP
-    Then it logs that the settings are refused
-    And it ends with code 0 after SIGTERM
+    Guards against a SIGHUP that ends the process and aborts its requests.
+    Given a proxy process started as on the platform
+    When its settings name another seed and it receives SIGHUP
+    Then it logs the event "settings_reloaded"
+    When its settings file is emptied and it receives SIGHUP
+    Then it logs the event "settings_refused"
+    And it exits with code 0 after SIGTERM
 
   Scenario: A runner that leaves is taken out by any member
-    Guards against a confirmed leave that a member forgets, since its own state
-    lags behind the leader's.
-    Given a member whose own state knows no endpoint
-    And the log knows runner "i-1" of incarnation "5"
-    When runner "i-1" tells the member that it leaves
-    Then the call is confirmed and runner "i-1" is leaving
+    Guards against a confirmed leave that is lost, because the member that gets
+    the call lags behind the leader and does not know the endpoint yet.
+    Given a member whose own state holds no endpoint
+    And the log holds runner "i-1" of incarnation "5"
+    When runner "i-1" deletes itself at the member
+    Then the call is confirmed and runner "i-1" has status leaving
--- a/features/raw_server.py
+++ b/features/raw_server.py
@@ -1,4 +1,4 @@
-"""TCP server that answers HTTP in ways that no proper server does."""
+"""TCP server that sends faulty HTTP responses."""
 
 import anyio
 import anyio.abc
@@ -12,19 +12,24 @@
 
 @attrs.define
 class RawServer:
-    """Answers each request as its mode tells.
-
-    Modes: `ok` answers; `stray` answers and adds a second whole answer;
-    `close_first` and `close_second` close the connection at that request;
-    `crossed` answers another request; `refusal_of_other` refuses another
-    attempt with 409; `no_length` answers without a length and cuts the body;
-    `silent` sends the head of a stream and one event.
+    """Answers each request according to its mode.
+
+    Modes:
+        ok: A correct response.
+        stray: A correct response, followed by a second complete response.
+        close_first: Closes the connection at its first request.
+        close_second: Closes the connection at its second request.
+        crossed: The response to another request.
+        refusal_of_other: A 409 refusal of another attempt.
+        no_length: A response without a length and with a truncated body.
+        silent: The headers of a stream and one event, then nothing.
 
     Attributes:
         mode: One of the modes.
-        connections: Connections accepted.
-        requests: Requests read, on all connections.
-        closed: Connections that the other end has closed.
+        connections: Number of connections accepted.
+        requests: Number of requests read on all connections.
+        closed: Number of connections that have ended.
+        changed: Set and replaced whenever one of the counts changes.
     """
 
     mode: str
@@ -60,7 +65,7 @@
         self.changed = anyio.Event()
 
     async def wait(self, condition) -> None:
-        """Waits until `probe()` is true."""
+        """Waits until `condition()` returns true."""
         while not condition():
             await self.changed.wait()
 
@@ -122,6 +127,6 @@
 
 
 def raw_endpoint(url: str, kind: EndpointKind) -> Endpoint:
-    """Builds the endpoint of a raw server."""
+    """Creates the endpoint of a raw server."""
     serves = ("guide",) if kind is EndpointKind.RUNNER else ("booking",)
     return Endpoint("raw", "raw", url, kind, serves, "w1")
--- a/features/steps/adapter_process_steps.py
+++ b/features/steps/adapter_process_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a process on the platform, started as the platform starts it."""
+"""Steps for a process that is started as the platform starts it."""
 
 import json
 import os
@@ -39,7 +39,7 @@
     context.settings_file.write_text(text)
 
 
-@given("a proxy process on the platform")
+@given("a proxy process started as on the platform")
 def start_proxy_process(context):
     folder = pathlib.Path(tempfile.mkdtemp(prefix="knapweedarch-"))
     context.settings_file = folder / "local.conf"
@@ -61,31 +61,31 @@
 
 
 def wait_for_event(context, name: str) -> None:
-    """Reads log lines up to an event; the process ends them if it ends."""
+    """Reads log lines up to an event; fails if the process ends first."""
     for line in context.process.stdout:
         if json.loads(line)["event_name"] == name:
             return
-    raise AssertionError(f"the process ended without {name}")
+    raise AssertionError(f"the process ended without the event {name}")
 
 
-@when("its settings name another seed and it gets SIGHUP")
+@when("its settings name another seed and it receives SIGHUP")
 def change_seed(context):
     write_settings(context, OTHER_SEED)
     context.process.send_signal(signal.SIGHUP)
 
 
-@when("its settings file is emptied and it gets SIGHUP")
+@when("its settings file is emptied and it receives SIGHUP")
 def empty_settings_file(context):
     context.settings_file.write_text("")
     context.process.send_signal(signal.SIGHUP)
 
 
-@then("it logs that the settings are {what}")
-def check_settings_logged(context, what):
-    wait_for_event(context, f"settings_{what}")
+@then('it logs the event "{name}"')
+def check_event_logged(context, name):
+    wait_for_event(context, name)
 
 
-@then("it ends with code 0 after SIGTERM")
+@then("it exits with code 0 after SIGTERM")
 def check_exit(context):
     context.process.send_signal(signal.SIGTERM)
     context.process.communicate(timeout=EXIT_TIMEOUT_S)
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the platform's messages, in the form of its own examples."""
+"""Steps for the platform's messages, in the format of its examples."""
 
 import copy
 import json
@@ -130,7 +130,7 @@
 
 
 def is_rejected(read, *arguments) -> bool:
-    """Tells whether a decoder refuses a body with its own error."""
+    """Tells whether a decoder raises `DeploymentError` with its faults."""
     try:
         read(*arguments)
     except DeploymentError as exc:
@@ -158,7 +158,7 @@
     assert route.timeout_s == limit and not route.repeatable
 
 
-@then('route "{name}" may be resumed and sends all to "{service}"')
+@then('route "{name}" is resumable and sends all traffic to "{service}"')
 def check_resumable_route(context, name, service):
     route = find_by_name(context.deployment.routes, name)
     assert route.resumable and route.repeatable and route.streams
@@ -177,7 +177,7 @@
     assert len(customer.keys) == count and customer.isolated
 
 
-@then("a configuration with unknown fields reads the same")
+@then("a configuration with unknown fields is decoded to the same value")
 def check_unknown_fields_ignored(context):
     document = copy.deepcopy(CONFIGURATION)
     document["mood"] = "new"
@@ -224,7 +224,7 @@
     context.document["tenants"].append(other)
 
 
-@when("the version is a text")
+@when("the version is a string")
 def set_text_version(context):
     context.document["version"] = "7"
 
@@ -246,7 +246,7 @@
 
 @then("the configuration is refused")
 def check_configuration_refused(context):
-    # Most steps change the document only.
+    # Only steps that make the body malformed set `context.body`.
     body = context.body or encode(context.document)
     assert is_rejected(read_deployment, body)
 
@@ -329,31 +329,31 @@
 
 
 class LaggingMember:
-    """A member whose own state lags behind the leader's log."""
+    """Member whose own state lags behind the leader's log."""
 
     def __init__(self):
         self.state = ControlState()
         self.log = ControlState()
 
     async def submit(self, command, timeout_s):
-        """Commits a command at the leader."""
+        """Applies a command to the leader's state."""
         return RESULTS.decode(self.log.apply(COMMANDS.encode(command)))
 
 
 class RecordingResponder:
-    """Keeps the answer to a call."""
+    """Records the answer to a call."""
 
     async def send(self, answer):
-        """Takes the answer."""
+        """Records the answer."""
         self.answer = answer
 
 
-@given("a member whose own state knows no endpoint")
+@given("a member whose own state holds no endpoint")
 def create_lagging_member(context):
     context.member = LaggingMember()
 
 
-@given('the log knows runner "{name}" of incarnation "{incarnation}"')
+@given('the log holds runner "{name}" of incarnation "{incarnation}"')
 def add_runner_to_log(context, name, incarnation):
     endpoint = Endpoint(
         *(name, incarnation, "http://10.0.0.1:80"),
@@ -362,7 +362,7 @@
     context.member.log.apply(COMMANDS.encode(Announce(endpoint)))
 
 
-@when('runner "{name}" tells the member that it leaves')
+@when('runner "{name}" deletes itself at the member')
 def send_leave(context, name):
     req = Request(
         method=b"DELETE",
@@ -374,7 +374,7 @@
     anyio.run(ControlApi(context.member).handle, req, context.responder)
 
 
-@then('the call is confirmed and runner "{name}" is leaving')
+@then('the call is confirmed and runner "{name}" has status leaving')
 def check_leaving(context, name):
     assert context.responder.answer.status == 200
     found = context.member.log.endpoints[name].endpoint.status
--- a/features/steps/heavy_load_steps.py
+++ b/features/steps/heavy_load_steps.py
@@ -1,4 +1,4 @@
-"""Steps for choices, caches and repeats under load, without network."""
+"""Steps for runner choice, caches and retries under load, without network."""
 
 import random
 
@@ -72,10 +72,10 @@
 
 
 def simulate_burst(context, per_router: int, shared: bool) -> int:
-    """Sends a burst; returns the most long prompts at one runner."""
+    """Places a burst; returns the maximum of long prompts at one runner."""
     choosers = [create_chooser() for _ in context.choosers]
     aggregator, counts = LoadAggregator(), dict.fromkeys(context.runners, 0)
-    # Documents are drawn so that their hashes do not spread them evenly.
+    # Random documents, whose hashes do not spread them evenly over runners.
     rng = random.Random(3)
     for _ in range(per_router):
         for number, chooser in enumerate(choosers):
@@ -94,7 +94,7 @@
 
 
 @when(
-    "each router sends {count:d} long prompts and the loads are shared between"
+    "each router sends {count:d} long prompts and the routers share their loads"
 )
 def run_bursts(context, count):
     context.max_shared = simulate_burst(context, count, shared=True)
@@ -106,12 +106,12 @@
     assert context.max_shared <= most, context.max_shared
 
 
-@then("without sharing some runner has more than {most:d}")
+@then("without sharing some runner has more than {most:d} long prompts")
 def check_max_without_sharing(context, most):
     assert context.max_unshared > most, context.max_unshared
 
 
-@when("others told {age:f} s ago that runner 1 is full")
+@when("other routers reported {age:f} s ago that runner 1 is full")
 def report_full_runner(context, age):
     full = EndpointLoad("r1", 48, 60_000, 70_000)
     chooser = context.choosers[0]
@@ -119,7 +119,7 @@
 
 
 def chosen_runner_ids(context) -> set[str]:
-    """Runners that long prompts of different documents go to."""
+    """Returns the runners chosen for long prompts of different documents."""
     chooser = context.choosers[0]
     return {
         choose_endpoint(context, chooser, create_long_prompt(i)).id
@@ -145,13 +145,13 @@
         )
 
 
-@given("runner 2 alone has the weights named last")
+@given("only runner 2 has the latest weights")
 def set_latest_weights(context):
     context.runners[1] = create_runner(2, weights="2")
     context.choosers[0].set_weights({"m": 2}, context.now)
 
 
-@then("after {seconds:f} s runner 2 alone gets requests, however busy")
+@then("after {seconds:f} s only runner 2 gets requests at any load")
 def check_only_latest_weights(context, seconds):
     context.now += seconds
     for _ in range(400):
@@ -161,10 +161,7 @@
     check_must_choose(context, 2)
 
 
-@then(
-    "a request that is sent once more goes to runner 2 with {count:d} streams"
-    " there"
-)
+@then("a retried request goes to runner 2 with {count:d} streams there")
 def check_retry_with_streams(context, count):
     for _ in range(count):
         context.choosers[0].record_sent(
@@ -222,7 +219,7 @@
     return [PartKey(SALT, part.id) for part in create_long_prompt().parts[:-1]]
 
 
-@when("the events tell that runner 2 holds the shared parts")
+@when("cache events report that runner 2 holds the shared parts")
 def report_shared_parts(context):
     stored = [PartChange(True, key) for key in shared_keys()]
     parts_index(context).parts_at(context.runners[1].address).apply_changes(
@@ -230,7 +227,7 @@
     )
 
 
-@when("the events tell that runner 2 has dropped the first part")
+@when("a cache event reports that runner 2 evicted the first part")
 def report_dropped_part(context):
     dropped = PartChange(False, shared_keys()[0])
     parts_index(context).parts_at(context.runners[1].address).apply_changes(
@@ -238,7 +235,7 @@
     )
 
 
-@when("runner 2 starts anew and tells no events")
+@when("runner 2 restarts and reports no events")
 def restart_runner(context):
     parts_index(context).parts_at(context.runners[1].address).apply_changes(
         create_cache_changes(epoch=2)
@@ -246,7 +243,7 @@
 
 
 def fetch_source(context, number: int) -> str:
-    """Address that a runner fetches the shared parts from."""
+    """Returns the address from which a runner fetches the shared parts."""
     index, prompt = parts_index(context), create_long_prompt()
     own = context.runners[number - 1].address
     others = [r.address for r in context.runners if r.address != own]
@@ -269,7 +266,7 @@
     context.save_limiter = SaveLimiter(count)
 
 
-@when("{count:d} prompts of {documents:d} documents come within 1 s")
+@when("{count:d} prompts for {documents:d} documents arrive within 1 s")
 def offer_prompts(context, count, documents):
     context.saved = [
         number % documents
@@ -280,7 +277,7 @@
     ]
 
 
-@then("{least:d} to {most:d} prompts are saved, none of one document twice")
+@then("{least:d} to {most:d} prompts are saved, at most one per document")
 def check_saves(context, least, most):
     assert least <= len(context.saved) <= most, context.saved
     assert len(set(context.saved)) == len(context.saved)
@@ -294,7 +291,7 @@
 
 
 @given(
-    "a bound of {ratio:f} per request and {allowance:d} in {window:d} s for"
+    "a bound of {ratio:f} per request plus {allowance:d} in {window:d} s for"
     " {routers:d} routers"
 )
 def set_retry_bound(context, ratio, allowance, window, routers):
@@ -304,8 +301,10 @@
 
 RESTARTS = {
     "without a restart": lambda at, number: False,
-    "with a restart of all at 20 s": lambda at, number: at == 20.0,
-    "with a restart each 3 s": lambda at, number: at % 24.0 == 3.0 * number,
+    "with a restart of all routers at 20 s": lambda at, number: at == 20.0,
+    "with a restart of one router every 3 s": lambda at, number: (
+        at % 24.0 == 3.0 * number
+    ),
 }
 
 
@@ -326,7 +325,7 @@
                 context.retry_times.append(at)
 
 
-@then("in no {window:d} s more repeats are sent than the bound allows")
+@then("no window of {window:d} s has more retries than the bound allows")
 def check_retry_bound(context, window):
     limits = context.limits
     assert context.retry_times
@@ -339,14 +338,14 @@
             assert repeats <= bound, (start, repeats, bound)
 
 
-@given("{count:d} runners that were all heard {age:f} s ago")
+@given("{count:d} runners that were all last active {age:f} s ago")
 def add_active_runners(context, count, age):
     create_routers_and_runners(context, 1, count)
     for each in context.runners:
         context.choosers[0].record_activity(each.address, NOW - age)
 
 
-@when("the router is stopped for {pause:d} s")
+@when("the router is paused for {pause:d} s")
 def pause_router(context, pause):
     context.now += pause
     context.choosers[0].exclude_pause(pause)
@@ -386,7 +385,7 @@
 
 @then('the prompt goes to runner "new", whichever is listed first')
 def check_goes_to_new_runner(context):
-    # Some load at the runner that holds the parts decides without them.
+    # Without the cached parts, this load would decide for the other runner.
     for _ in range(4):
         context.choosers[0].record_sent(
             context.runners[1], SHORT, 0, context.now
@@ -397,7 +396,7 @@
         context.runners.reverse()
 
 
-@given("timers that call each {period:f} s")
+@given("timers that fire every {period:f} s")
 def create_periodic_timers(context, period):
     context.clock, context.stops = ManualClock(NOW), []
     context.timers = Timers(context.clock)
@@ -405,7 +404,7 @@
     context.period = period
 
 
-@when("the process runs for {first:f} s, stops for {pause:f} s and runs again")
+@when("the process runs for {first:f} s, pauses for {pause:f} s and continues")
 def run_and_pause(context, first, pause):
     for _ in range(round(first / context.period)):
         context.clock.time += context.period
@@ -416,13 +415,13 @@
         context.clock.time += context.period
 
 
-@then("one stop of {pause:f} s is noticed")
+@then("one pause of {pause:f} s is detected")
 def check_one_pause(context, pause):
     (found,) = context.stops
     assert abs(found - pause) <= 2 * context.period, found
 
 
-@when("weights are named that no runner has")
+@when("new weights are announced that no runner has")
 def set_unavailable_weights(context):
     context.choosers[0].set_weights({"m": 2}, context.now)
 
