--- a/features/steps/heavy_load_steps.py
+++ b/features/steps/heavy_load_steps.py
@@ -10,7 +10,7 @@
 from knapweedarch.models import Endpoint, EndpointKind
 from knapweedarch.process_stops import StopWatcher
 from knapweedarch.prompt_parts import Prompt, PromptPart
-from knapweedarch.repeat_budget import RepeatLimits, RetryBudget
+from knapweedarch.repeat_budget import RepeatBudget, RepeatLimits
 from knapweedarch.stored_parts import (
     CacheChanges,
     PartChange,
@@ -309,12 +309,12 @@
 @when("each router gets {rate:d} requests a second and every one fails {how}")
 def all_fail(context, rate, how):
     context.requests, context.repeats = [], []
-    budgets = [RetryBudget(context.limits, 0.0) for _ in range(context.count)]
+    budgets = [RepeatBudget(context.limits, 0.0) for _ in range(context.count)]
     for tick in range(60 * rate):
         at = tick / rate
         for number in range(context.count):
             if RESTARTS[how](at, number):
-                budgets[number] = RetryBudget(context.limits, at)
+                budgets[number] = RepeatBudget(context.limits, at)
             budgets[number].record_request(at)
             context.requests.append(at)
             if budgets[number].try_acquire(context.count, at):
--- a/knapweedarch/proxy_attempts.py
+++ b/knapweedarch/proxy_attempts.py
@@ -29,7 +29,7 @@
     retry_after_header,
     urgency,
 )
-from knapweedarch.repeat_budget import RepeatLimits, RetryBudget
+from knapweedarch.repeat_budget import RepeatBudget, RepeatLimits
 from knapweedarch.stored_parts import PartsIndex, SaveLimiter
 from knapweedarch.timers import Clock
 
@@ -65,7 +65,7 @@
         self._limits = limits
         self._may_start = may_start
         self._started_at = started_at
-        self._budgets: dict[str, RetryBudget] = {}
+        self._budgets: dict[str, RepeatBudget] = {}
         self._by_service: dict[str, list[Endpoint]] = {}
 
     def set_endpoints(self, endpoints: list[Endpoint]) -> None:
@@ -139,11 +139,11 @@
         """Returns whether the route allows a retry after the next attempt."""
         return call.send_count + 1 < call.route.attempts
 
-    def _budget(self, call: Call) -> RetryBudget:
+    def _budget(self, call: Call) -> RepeatBudget:
         service = call.service.name
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = RetryBudget(
+            budget = self._budgets[service] = RepeatBudget(
                 self._limits, self._started_at
             )
         return budget
@@ -338,8 +338,8 @@
     def record_end(self, call: Call, end: RequestEnd) -> None:
         """Records the outcome of a request and its duration."""
         kind = call.route.repeatability.value
-        taken_s = self.clock.now() - call.started_at
-        self.metrics.timing(f"answer_time.{kind}.{end.value}", taken_s)
+        duration_s = self.clock.now() - call.started_at
+        self.metrics.timing(f"answer_time.{kind}.{end.value}", duration_s)
 
     def record_caller_left(self, call: Call) -> None:
         """Records that a caller disconnected before its answer was complete."""
--- a/knapweedarch/repeat_budget.py
+++ b/knapweedarch/repeat_budget.py
@@ -30,7 +30,7 @@
 USED_FRACTION = 0.9
 
 
-class RetryBudget:
+class RepeatBudget:
     """One router's retry budget for one service.
 
     A router that has just started does not know its retries before the
