--- a/knapweedarch/order_giver.py
+++ b/knapweedarch/order_sender.py
@@ -18,7 +18,7 @@
 ACQUIRE_TIMEOUT_S = 3.0
 
 
-class OrderGiver:
+class OrderSender:
     """Acquires the entitlement to send orders and sends those due."""
 
     def __init__(
@@ -57,7 +57,7 @@
             )
             async with anyio.create_task_group() as group:
                 for order in orders:
-                    group.start_soon(self._order_load, order)
+                    group.start_soon(self._send_load_order, order)
         except ControlError as exc:
             log("orders_not_taken", reason=exc.reason)
         finally:
@@ -78,7 +78,7 @@
                 return self._entitlement.is_held(self._lease, now)
         return False
 
-    async def _order_load(self, order: LoadOrder) -> None:
+    async def _send_load_order(self, order: LoadOrder) -> None:
         if not self._entitlement.may_order(
             order.endpoint, self._lease, self._clock.now()
         ):
--- a/knapweedarch/router.py
+++ b/knapweedarch/router.py
@@ -33,7 +33,7 @@
     Rules,
     Ticket,
 )
-from knapweedarch.order_giver import OrderGiver
+from knapweedarch.order_sender import OrderSender
 from knapweedarch.rules import parse_steps
 from knapweedarch.settings import RouterSettings
 from knapweedarch.state import Announce
@@ -92,7 +92,7 @@
             *(distances_ms, self.incarnation),
         )
         self._keeper.on_endpoints = self._endpoints.update
-        self._orders = OrderGiver(
+        self._orders = OrderSender(
             *(self.incarnation, self._keeper.lease, self._control),
             *(self.adapter, clock, metrics),
         )
