--- a/knapweedarch/links.py
+++ b/knapweedarch/links.py
@@ -93,7 +93,7 @@
         self._codec = codec
         self._handler = handler
         self._buffer = bytearray()
-        self._calls: dict[int, list] = {}
+        self._pending_calls: dict[int, list] = {}
         self._next_call = 0
         self._queued_bytes = 0
         self._outbox: list[bytes] = []
@@ -109,7 +109,7 @@
             LinkError: The message is too large, or the send queue is full
                 because the peer reads too slowly.
         """
-        self._queue(Send(self._codec.encode(message)))
+        self._queue_frame(Send(self._codec.encode(message)))
 
     async def call(self, message: object, timeout_s: float) -> object:
         """Sends a message and waits for its reply.
@@ -123,13 +123,13 @@
         self._next_call += 1
         number = self._next_call
         pending = [anyio.Event(), None]
-        self._calls[number] = pending
+        self._pending_calls[number] = pending
         try:
-            self._queue(Call(number, self._codec.encode(message)))
+            self._queue_frame(Call(number, self._codec.encode(message)))
             with anyio.move_on_after(timeout_s):
                 await pending[0].wait()
         finally:
-            del self._calls[number]
+            del self._pending_calls[number]
         if pending[1] is None:
             raise LinkError(
                 "no reply before the timeout"
@@ -138,12 +138,12 @@
             )
         return self._codec.decode(pending[1])
 
-    def _queue(self, frame: object) -> None:
+    def _queue_frame(self, frame: object) -> None:
         if self.closed.is_set():
             return
-        self._queue_frame(_FRAME_CODEC.encode(frame))
+        self._queue_bytes(_FRAME_CODEC.encode(frame))
 
-    def _queue_frame(self, data: bytes) -> None:
+    def _queue_bytes(self, data: bytes) -> None:
         if len(data) > MAX_FRAME_BYTES:
             raise LinkError(f"outgoing frame of {len(data)} bytes is too large")
         self._queued_bytes += len(data)
@@ -160,7 +160,7 @@
         """Closes the link and fails its pending calls."""
         self.closed.set()
         self._outbox_changed.set()
-        for pending in self._calls.values():
+        for pending in self._pending_calls.values():
             pending[0].set()
 
     async def run(self) -> None:
@@ -193,7 +193,7 @@
             if stuck or now - self._last_receive_at > LINK_TIMEOUT_S:
                 self.close()
             elif now - self._last_send_at >= KEEP_ALIVE_INTERVAL_S / 2:
-                self._queue_frame(_PING_FRAME)
+                self._queue_bytes(_PING_FRAME)
 
     async def _write(self) -> None:
         try:
@@ -224,7 +224,7 @@
                         group.start_soon(self._handle_call, call)
                     case Reply(number=number, body=body):
                         # A reply that arrives after the timeout is discarded.
-                        if pending := self._calls.get(number):
+                        if pending := self._pending_calls.get(number):
                             pending[1] = body
                             pending[0].set()
         except LinkError:
@@ -237,7 +237,7 @@
         try:
             reply = await self._handler(self, self._codec.decode(call.body))
             if reply is not None:
-                self._queue(Reply(call.number, self._codec.encode(reply)))
+                self._queue_frame(Reply(call.number, self._codec.encode(reply)))
         except LinkError:
             self.close()
         except CodecError as exc:
@@ -300,10 +300,10 @@
             raise CredentialError("peer sent no challenge")
         proof = hmac.digest(credential, role + challenge.nonce, "sha256")
         await self._write_frame(Proof(proof))
-        answer = await self._read_frame()
+        peer_proof = await self._read_frame()
         expected = hmac.digest(credential, other_role + nonce, "sha256")
-        if not isinstance(answer, Proof) or not hmac.compare_digest(
-            answer.digest, expected
+        if not isinstance(peer_proof, Proof) or not hmac.compare_digest(
+            peer_proof.digest, expected
         ):
             raise CredentialError("peer holds a different credential")
 
