--- a/knapweedarch/prefixes.py
+++ b/knapweedarch/prefixes.py
@@ -67,14 +67,14 @@
             view = view[missing:]
             if len(self._tail) < BLOCK_BYTES:
                 return
-            self._close_block(self._tail)
+            self._hash_block(self._tail)
             self._tail = bytearray()
         full = len(view) - len(view) % BLOCK_BYTES
         for start in range(0, full, BLOCK_BYTES):
-            self._close_block(view[start : start + BLOCK_BYTES])
+            self._hash_block(view[start : start + BLOCK_BYTES])
         self._tail += view[full:]
 
-    def _close_block(self, block: bytes | bytearray | memoryview) -> None:
+    def _hash_block(self, block: bytes | bytearray | memoryview) -> None:
         state = xxhash.xxh3_64(self._parent)
         state.update(block)
         self._parent = state.digest()
