--- a/spec/once_spec.py
+++ b/spec/once_spec.py
@@ -208,10 +208,10 @@
         session, running = state.leases[ROUTER_OF[a]]
         if attempt.phase != IDLE or not running:
             return
-        asked = Attempt(RESERVING, session=session)
+        reserving = Attempt(RESERVING, session=session)
         commands = state.commands | {Command("reserve", a)}
         out.append(
-            (f"reserve {a}", self._with_attempt(state, a, asked, commands))
+            (f"reserve {a}", self._with_attempt(state, a, reserving, commands))
         )
 
     def _with_attempt(
@@ -379,8 +379,8 @@
     )
 
 
-_ONCE, _LATE = ("runs once",), ("no send after unknown",)
-_FINAL, _KEY = ("not_run is final",), ("answer of its key",)
+_RUNS_ONCE, _NO_LATE_SEND = ("runs once",), ("no send after unknown",)
+_NOT_RUN_FINAL, _OWN_ANSWER = ("not_run is final",), ("answer of its key",)
 
 MODELS = (
     Model(
@@ -388,15 +388,17 @@
         "3 attempts at 2 routers, each lease lost and regained once",
         partial(build, 0, 0, (1, 1)),
         (
-            Mutation("send before reserve is durable", _ONCE + _LATE),
-            Mutation("settle matched by router only", _LATE),
-            Mutation("free on unknown", _ONCE + _LATE),
-            Mutation("abandon frees the key", _ONCE),
-            Mutation("not_run frees an unknown key", _LATE),
-            Mutation("send without a lease", _LATE),
-            Mutation("send under a later lease", _LATE),
-            Mutation("not_run after a write", _FINAL + _ONCE),
-            Mutation("accept a crossed answer", _KEY),
+            Mutation(
+                "send before reserve is durable", _RUNS_ONCE + _NO_LATE_SEND
+            ),
+            Mutation("settle matched by router only", _NO_LATE_SEND),
+            Mutation("free on unknown", _RUNS_ONCE + _NO_LATE_SEND),
+            Mutation("abandon frees the key", _RUNS_ONCE),
+            Mutation("not_run frees an unknown key", _NO_LATE_SEND),
+            Mutation("send without a lease", _NO_LATE_SEND),
+            Mutation("send under a later lease", _NO_LATE_SEND),
+            Mutation("not_run after a write", _NOT_RUN_FINAL + _RUNS_ONCE),
+            Mutation("accept a crossed answer", _OWN_ANSWER),
         ),
     ),
     Model(
@@ -415,6 +417,6 @@
         "once, crash and repeat",
         "3 attempts at 2 routers, 1 crash, 1 repeated command",
         partial(build, 1, 1, (0, 0)),
-        (Mutation("settle matched by router only", _ONCE),),
+        (Mutation("settle matched by router only", _RUNS_ONCE),),
     ),
 )
