--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -143,7 +143,7 @@
 
 
 @then("it is accepted and the endpoint that left first is gone")
-def first_is_gone(context):
+def first_departed_removed(context):
     assert context.result.status is EndpointStatus.ACTIVE
     known = context.machine.endpoints
     assert len(known) == state.MAX_ENDPOINTS
@@ -160,12 +160,12 @@
 
 @then("it gets no more than {count:d} load order")
 def load_orders(context, count):
-    rollout, given_orders, runner = Rollout(), 0, context.runner
+    rollout, order_count, runner = Rollout(), 0, context.runner
     for step in range(100):
         for order in rollout.next_orders(context.rules, [runner], step * 1.0):
-            given_orders += 1
+            order_count += 1
             runner = attrs.evolve(runner, weights_version=order.version)
-    assert given_orders == count, given_orders
+    assert order_count == count, order_count
 
 
 @given("a deployment of 1 member")
@@ -201,7 +201,7 @@
 
 @when("the daemon is started with settings of the tool")
 def daemon_with_tool_settings(context):
-    path = Deployment(members=1).tool_settings()
+    path = Deployment(members=1).write_tool_settings()
     context.done = subprocess.run(
         [
             *(sys.executable, "-m", "knapweedarch.daemon", "--settings"),
@@ -375,7 +375,7 @@
 
 
 @then('messages to member "{name}" are sent over that link')
-def go_over_link(context, name):
+def messages_sent_over_link(context, name):
     assert send_to(context, name) == 1
 
 
@@ -386,5 +386,5 @@
 
 
 @then('messages to member "{name}" are not sent')
-def go_nowhere(context, name):
+def messages_not_sent(context, name):
     assert send_to(context, name) == 0
--- a/features/steps/deployment_steps.py
+++ b/features/steps/deployment_steps.py
@@ -130,7 +130,7 @@
         for i in (1, 2)
     ]
     desk = pool.submit(
-        cluster.start_desk, "desk-1", "booking", data_centre="dc-1"
+        cluster.start_service, "desk-1", "booking", data_centre="dc-1"
     )
     for future in (*runners, desk):
         future.result()
@@ -140,7 +140,7 @@
 def freeze(context, router):
     if router == "the leader":
         router = context.frozen = status(context.cluster).leader
-    context.cluster.signal(router, signal.SIGSTOP)
+    context.cluster.send_signal(router, signal.SIGSTOP)
 
 
 @when("{count:d} requests are sent to {router} before it continues")
@@ -157,7 +157,7 @@
     before = connections(url)
     context.waiting = [pool.submit(chat, cluster, router) for _ in range(count)]
     cluster.wait_for("connections", lambda: connections(url) >= before + count)
-    cluster.signal(router, signal.SIGCONT)
+    cluster.send_signal(router, signal.SIGCONT)
 
 
 def connections(url):
@@ -172,7 +172,7 @@
 
 @when("the frozen leader continues")
 def thaw(context):
-    context.cluster.signal(context.frozen, signal.SIGCONT)
+    context.cluster.send_signal(context.frozen, signal.SIGCONT)
 
 
 @when("an operator applies rules without the customer")
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -87,7 +87,7 @@
         cluster.start_runner(
             f"runner-{i}", "guide", data_centre=f"dc-{i}", token_ms=10
         )
-    cluster.start_desk("desk-1", "booking", data_centre="dc-1")
+    cluster.start_service("desk-1", "booking", data_centre="dc-1")
     for name in ("router-1", "router-2"):
         cluster.wait_ready(name)
     cluster.wait_for("endpoints known", lambda: endpoints(cluster) == 4)
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -167,14 +167,14 @@
             arguments += [f"--{key.replace('_', '-')}", str(value)]
         return self._start_endpoint("runner", name, arguments)
 
-    def start_desk(self, name: str, service: str, **options) -> Process:
+    def start_service(self, name: str, service: str, **options) -> Process:
         """Starts a stand-in plain service."""
         arguments = ["--service", service]
         for key, value in options.items():
             arguments += [f"--{key.replace('_', '-')}", str(value)]
         return self._start_endpoint("desk", name, arguments)
 
-    def tool_settings(self) -> str:
+    def write_tool_settings(self) -> str:
         """Writes the settings of the command-line tool and returns the path."""
         path = self.folder / "tool.json5"
         content = {"members": self.members, "credential": CREDENTIAL}
@@ -186,7 +186,7 @@
         return subprocess.run(
             [
                 *(sys.executable, "-m", "knapweedarch.cli", *arguments),
-                *("--settings", self.tool_settings()),
+                *("--settings", self.write_tool_settings()),
             ],
             cwd=ROOT,
             env=dict(os.environ, PYTHONPATH=str(ROOT)),
@@ -195,7 +195,7 @@
             timeout=30,
         )
 
-    def signal(self, name: str, number: signal.Signals) -> None:
+    def send_signal(self, name: str, number: signal.Signals) -> None:
         """Sends a signal to one of the deployment's own processes."""
         os.kill(self.processes[name].popen.pid, number)
 
