--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -121,7 +121,7 @@
 
 
 def endpoint(number, **changes):
-    """Builds an endpoint."""
+    """Builds a runner that serves one model; `changes` replace fields."""
     return Endpoint(
         *(f"r{number}", f"i{number}", "http://127.0.0.1:1"),
         **{"kind": EndpointKind.RUNNER, "serves": ("guide",), **changes},
@@ -329,6 +329,7 @@
 
 @then("the attempt fails within {limit:f} s")
 def not_connected(context, limit):
+    # The lower bound rules out a refused connection, which fails at once.
     assert 0.1 <= context.elapsed_s <= limit, context.elapsed_s
 
 
--- a/knapweedarch/links.py
+++ b/knapweedarch/links.py
@@ -22,8 +22,8 @@
 
 KEEP_ALIVE_INTERVAL_S = 0.3
 LINK_TIMEOUT_S = 1.0
-# A connection attempt to an instance without power hangs. The kernel resends
-# the SYN only after 1 s, and the instance may be up again long before that.
+# A connection attempt to an instance that is powered off hangs. The kernel
+# resends the SYN only after 1 s, and the instance may be up long before that.
 CONNECT_TIMEOUT_S = 0.4
 MAX_FRAME_BYTES = 8 * 1024 * 1024
 MAX_QUEUED_FRAMES = 4096
--- a/knapweedarch/order_sender.py
+++ b/knapweedarch/order_sender.py
@@ -1,4 +1,4 @@
-"""Sends the orders of a roll-out to runners while this router is entitled."""
+"""Sends roll-out orders to runners while this router holds the entitlement."""
 
 from collections.abc import Sequence
 
@@ -41,7 +41,7 @@
         self._busy = False
 
     def is_due(self, rules: Rules, endpoints: Sequence[Endpoint]) -> bool:
-        """Returns whether weights are missing and no step is in progress."""
+        """Returns whether weights are missing and no orders are being sent."""
         return not self._busy and self._rollout.is_needed(rules, endpoints)
 
     async def send_due_orders(
--- a/knapweedarch/prompt_parts.py
+++ b/knapweedarch/prompt_parts.py
@@ -1,7 +1,7 @@
 """Prompts that callers divide into parts of any size.
 
-Runners cache whole parts. A part is a cache hit only if all parts before it
-are.
+Runners cache whole parts. A part is a cache hit only if every part before it
+is also a hit.
 """
 
 import attrs
@@ -41,7 +41,8 @@
     def affinity_key(self) -> str:
         """Key that routes requests with shared parts to the same runner.
 
-        It is the id of the last part that other requests are likely to share.
+        It is the id of the last part but one, which other requests are likely
+        to share, or of the only part.
         """
         if not self.parts:
             return ""
--- a/knapweedarch/proxy_attempts.py
+++ b/knapweedarch/proxy_attempts.py
@@ -33,13 +33,13 @@
 from knapweedarch.stored_parts import PartsIndex, SaveLimiter
 from knapweedarch.timers import Clock
 
-# Saves per second that one router may request from a store. Saves share the
-# store's link with all fetches.
+# Saves per second that one router may request from a store. Saves and fetches
+# share the store's network bandwidth.
 SAVES_PER_S = 1.2
 
 
 class Attempts:
-    """Chooses endpoints, opens exchanges and enforces the retry budgets."""
+    """Chooses endpoints, opens exchanges and enforces the repeat budgets."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
     def choose(self, call: Call) -> Endpoint | None:
         """Chooses the endpoint of the next attempt.
 
-        A retry is counted against the budget of its service.
+        A retry is counted against the repeat budget of its service.
 
         Returns:
             The endpoint; None if none is usable or the budget is exhausted.
--- a/knapweedarch/proxy_calls.py
+++ b/knapweedarch/proxy_calls.py
@@ -14,6 +14,7 @@
 # Largest Retry-After as a fraction of the caller's remaining time, so that a
 # retry still has time to be answered.
 MAX_RETRY_AFTER_FRACTION = 1 / 3
+# Mean Retry-After delay before it is limited to the caller's remaining time.
 RETRY_AFTER_S = 0.4
 # Urgency at a runner ranges from 0, the most urgent, to this value.
 LOWEST_URGENCY = 9
@@ -88,11 +89,11 @@
     """Builds the Retry-After header of a refusal.
 
     The delay has jitter, so that refused callers do not retry at the same
-    time.
+    time. It is at least 0.05 s.
 
     Args:
-        remaining_s: Time that the caller has left; a retry comes within the
-            first third of it or not at all.
+        remaining_s: Time that the caller has left. The delay is at most a
+            third of it, unless that is below the minimum.
         reason: Why the request is refused.
     """
     base_delay_s = RETRY_AFTER_S
@@ -114,8 +115,8 @@
     """Returns the urgency of a request at the runner; 0 is served first.
 
     The customer's priority takes precedence over the route's. A request with
-    more than one earlier send is the most urgent, since the caller of a
-    broken stream waits in the middle of it.
+    more than one earlier send is the most urgent, because its caller may
+    be waiting in the middle of a broken stream.
     """
     if call.send_count > 1:
         return 0
--- a/spec/check.py
+++ b/spec/check.py
@@ -48,7 +48,7 @@
     )
     print(
         f"{_verdict(ok)} {model.name}, mutation '{mutation.name}': "
-        f"{violations or 'not caught'}; {found.states} states, "
+        f"{violations or 'not detected'}; {found.states} states, "
         f"{found.cpu_s:.1f} s",
         flush=True,
     )
--- a/spec/once_spec.py
+++ b/spec/once_spec.py
@@ -16,7 +16,9 @@
 RESERVED, DONE, UNKNOWN = "reserved", "done", "unknown"
 NOT_RUN, GRANTED, NO_VALUE = "not_run", "granted", ""
 ABSENT, IN_FLIGHT, RAN, DROPPED = range(4)
+# Answer that belongs to a request with another key.
 OTHER_KEY = -1
+# Router of each attempt.
 ROUTER_OF = (0, 1, 0)
 
 
@@ -61,8 +63,10 @@
 class State(NamedTuple):
     """State of the whole system.
 
-    `leases` holds (session, running) for each router. `was_unknown` is set once
-    the status of the record has been unknown.
+    `leases` holds (session, running) for each router. `repeats` and `crashes`
+    are how many more repeated commands and crashes may happen, `runs` counts
+    the runs of the key at the service. `was_unknown` is set once the status of
+    the record has been unknown.
     """
 
     record: Record | None
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -209,7 +209,8 @@
         """Stops a process gracefully and returns its exit code."""
         process = self.processes[name]
         process.popen.send_signal(signal.SIGTERM)
-        # `processes` keeps it until then, since it serves until it has drained.
+        # Stays in `processes` until it exits, because it still serves requests
+        # while it drains.
         code = process.popen.wait(STOP_TIMEOUT_S)
         del self.processes[name]
         return code
