--- a/features/steps/deployment_steps.py
+++ b/features/steps/deployment_steps.py
@@ -130,7 +130,7 @@
         for i in (1, 2)
     ]
     desk = pool.submit(
-        cluster.start_desk, "desk-1", "booking", data_centre="dc-1"
+        cluster.start_service, "desk-1", "booking", data_centre="dc-1"
     )
     for future in (*runners, desk):
         future.result()
@@ -140,7 +140,7 @@
 def freeze_process(context, router):
     if router == "the leader":
         router = context.frozen = status(context.cluster).leader
-    context.cluster.signal(router, signal.SIGSTOP)
+    context.cluster.send_signal(router, signal.SIGSTOP)
 
 
 @when("{count:d} requests are sent to {router} before it continues")
@@ -162,7 +162,7 @@
     cluster.wait_for(
         "connections", lambda: count_connections(url) >= before + count
     )
-    cluster.signal(router, signal.SIGCONT)
+    cluster.send_signal(router, signal.SIGCONT)
 
 
 def count_connections(url):
@@ -177,7 +177,7 @@
 
 @when("the frozen leader continues")
 def continue_leader(context):
-    context.cluster.signal(context.frozen, signal.SIGCONT)
+    context.cluster.send_signal(context.frozen, signal.SIGCONT)
 
 
 @when("an operator applies rules without the customer")
--- a/features/steps/heavy_load_steps.py
+++ b/features/steps/heavy_load_steps.py
@@ -10,7 +10,7 @@
 from knapweedarch.models import Endpoint, EndpointKind
 from knapweedarch.process_pauses import PauseDetector
 from knapweedarch.prompt_parts import Prompt, PromptPart
-from knapweedarch.repeat_budget import RepeatLimits, RetryBudget
+from knapweedarch.repeat_budget import RepeatBudget, RepeatLimits
 from knapweedarch.stored_parts import (
     CacheChanges,
     PartChange,
@@ -312,13 +312,13 @@
 def fail_all_requests(context, rate, how):
     context.request_times, context.retry_times = [], []
     budgets = [
-        RetryBudget(context.limits, 0.0) for _ in range(context.router_count)
+        RepeatBudget(context.limits, 0.0) for _ in range(context.router_count)
     ]
     for tick in range(60 * rate):
         at = tick / rate
         for number in range(context.router_count):
             if RESTARTS[how](at, number):
-                budgets[number] = RetryBudget(context.limits, at)
+                budgets[number] = RepeatBudget(context.limits, at)
             budgets[number].record_request(at)
             context.request_times.append(at)
             if budgets[number].try_acquire(context.router_count, at):
--- a/knapweedarch/order_giver.py
+++ b/knapweedarch/order_sender.py
@@ -1,4 +1,4 @@
-"""Sends the orders of a roll-out to runners while this router is entitled."""
+"""Sends roll-out orders to runners while this router holds the entitlement."""
 
 from collections.abc import Sequence
 
@@ -18,7 +18,7 @@
 ACQUIRE_TIMEOUT_S = 3.0
 
 
-class OrderGiver:
+class OrderSender:
     """Acquires the entitlement to send orders and sends those due."""
 
     def __init__(
@@ -41,7 +41,7 @@
         self._busy = False
 
     def is_due(self, rules: Rules, endpoints: Sequence[Endpoint]) -> bool:
-        """Returns whether weights are missing and no step is in progress."""
+        """Returns whether weights are missing and no orders are being sent."""
         return not self._busy and self._rollout.is_needed(rules, endpoints)
 
     async def send_due_orders(
@@ -57,7 +57,7 @@
             )
             async with anyio.create_task_group() as group:
                 for order in orders:
-                    group.start_soon(self._order_load, order)
+                    group.start_soon(self._send_load_order, order)
         except ControlError as exc:
             log("orders_not_taken", reason=exc.reason)
         finally:
@@ -78,7 +78,7 @@
                 return self._entitlement.is_held(self._lease, now)
         return False
 
-    async def _order_load(self, order: LoadOrder) -> None:
+    async def _send_load_order(self, order: LoadOrder) -> None:
         if not self._entitlement.may_order(
             order.endpoint, self._lease, self._clock.now()
         ):
--- a/knapweedarch/proxy_attempts.py
+++ b/knapweedarch/proxy_attempts.py
@@ -29,17 +29,17 @@
     retry_after_header,
     urgency,
 )
-from knapweedarch.repeat_budget import RepeatLimits, RetryBudget
+from knapweedarch.repeat_budget import RepeatBudget, RepeatLimits
 from knapweedarch.stored_parts import PartsIndex, SaveLimiter
 from knapweedarch.timers import Clock
 
-# Saves per second that one router may request from a store. Saves share the
-# store's link with all fetches.
+# Saves per second that one router may request from a store. Saves and fetches
+# share the store's network bandwidth.
 SAVES_PER_S = 1.2
 
 
 class Attempts:
-    """Chooses endpoints, opens exchanges and enforces the retry budgets."""
+    """Chooses endpoints, opens exchanges and enforces the repeat budgets."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._limits = limits
         self._may_start = may_start
         self._started_at = started_at
-        self._budgets: dict[str, RetryBudget] = {}
+        self._budgets: dict[str, RepeatBudget] = {}
         self._by_service: dict[str, list[Endpoint]] = {}
 
     def set_endpoints(self, endpoints: list[Endpoint]) -> None:
@@ -99,7 +99,7 @@
     def choose(self, call: Call) -> Endpoint | None:
         """Chooses the endpoint of the next attempt.
 
-        A retry is counted against the budget of its service.
+        A retry is counted against the repeat budget of its service.
 
         Returns:
             The endpoint; None if none is usable or the budget is exhausted.
@@ -145,11 +145,11 @@
         """Returns whether the route allows a retry after the next attempt."""
         return call.send_count + 1 < call.route.attempts
 
-    def _budget(self, call: Call) -> RetryBudget:
+    def _budget(self, call: Call) -> RepeatBudget:
         service = call.service.name
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = RetryBudget(
+            budget = self._budgets[service] = RepeatBudget(
                 self._limits, self._started_at
             )
         return budget
@@ -346,8 +346,8 @@
     def record_end(self, call: Call, end: RequestEnd) -> None:
         """Records the outcome of a request and its duration."""
         kind = call.route.repeatability.value
-        taken_s = self.clock.now() - call.started_at
-        self.metrics.timing(f"answer_time.{kind}.{end.value}", taken_s)
+        duration_s = self.clock.now() - call.started_at
+        self.metrics.timing(f"answer_time.{kind}.{end.value}", duration_s)
 
     def record_caller_left(self, call: Call) -> None:
         """Records that a caller disconnected before its answer was complete."""
