--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -139,7 +139,7 @@
                 f"r{(n // CHAIN_BLOCKS + copy * (endpoints // 2)) % endpoints}"
             )
             cache.apply(_stored(name, number * REPLICAS + copy, chain))
-            cache.pop_gaps()
+            cache.take_snapshot_requests()
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return used / max(1, len(cache))
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -98,7 +98,7 @@
     context.sched.set_endpoints(list(context.runners.values()), 0.0)
     for runner in context.runners.values():
         context.cache.set_endpoint(runner.id, runner.incarnation)
-    context.cache.pop_gaps()
+    context.cache.take_snapshot_requests()
 
 
 @given("runner {name} has stored the prompt as event {number:d}")
@@ -173,8 +173,8 @@
 
 @then("a snapshot of runner {name} is requested")
 def snapshot_wanted(context, name):
-    assert context.cache.pop_gaps() == [name]
-    assert context.cache.pop_gaps() == []
+    assert context.cache.take_snapshot_requests() == [name]
+    assert context.cache.take_snapshot_requests() == []
 
 
 @when("a {kind} request arrives")
--- a/knapweedarch/index.py
+++ b/knapweedarch/index.py
@@ -34,13 +34,13 @@
         incarnation: Incarnation of the runner.
         bit: The runner's bit in the masks, a power of two.
         next_number: Number of the next event; None before the first one.
-        blocks: Number of confirmed blocks of the runner in the table.
+        block_count: Number of confirmed blocks of the runner in the table.
     """
 
     incarnation: str
     bit: int
     next_number: int | None = None
-    blocks: int = 0
+    block_count: int = 0
 
 
 class CacheIndex:
@@ -61,7 +61,7 @@
         self._retired_mask = 0
         self._sweep: list[int] = []
         self._sweep_mask = 0
-        self._gaps: set[str] = set()
+        self._snapshots_needed: set[str] = set()
 
     def __len__(self) -> int:
         """Returns the number of distinct confirmed blocks."""
@@ -72,12 +72,12 @@
         feed = self._feeds.get(endpoint_id)
         if feed is None or feed.incarnation != incarnation:
             self._open_feed(endpoint_id, incarnation)
-            self._gaps.add(endpoint_id)
+            self._snapshots_needed.add(endpoint_id)
 
     def drop_endpoint(self, endpoint_id: str) -> None:
         """Removes a runner and its entries."""
         feed = self._feeds.pop(endpoint_id, None)
-        self._gaps.discard(endpoint_id)
+        self._snapshots_needed.discard(endpoint_id)
         if feed is not None:
             self._retire(feed.bit)
 
@@ -95,7 +95,7 @@
             return False
         if feed.next_number is not None and event.number > feed.next_number:
             feed = self._open_feed(event.endpoint_id, event.incarnation)
-            self._gaps.add(event.endpoint_id)
+            self._snapshots_needed.add(event.endpoint_id)
         feed.next_number = event.number + 1
         match event.change:
             case models.CacheChange.STORED:
@@ -122,21 +122,21 @@
             snapshot.number + 1 < feed.next_number
         ):
             return False
-        if feed.blocks:
+        if feed.block_count:
             feed = self._open_feed(snapshot.endpoint_id, snapshot.incarnation)
         feed.next_number = snapshot.number + 1
-        self._gaps.discard(snapshot.endpoint_id)
+        self._snapshots_needed.discard(snapshot.endpoint_id)
         self._store(feed, snapshot.blocks)
         return True
 
-    def pop_gaps(self) -> list[str]:
+    def take_snapshot_requests(self) -> list[str]:
         """Returns and clears the runners that need a snapshot.
 
         These are new runners, new incarnations and runners with a gap in
         their events.
         """
-        gaps, self._gaps = sorted(self._gaps), set()
-        return gaps
+        needed, self._snapshots_needed = sorted(self._snapshots_needed), set()
+        return needed
 
     def assume(
         self, endpoint_id: str, blocks: tuple[int, ...], now: float
@@ -177,7 +177,7 @@
     def block_count(self, endpoint_id: str) -> int:
         """Returns the number of confirmed blocks of a runner."""
         feed = self._feeds.get(endpoint_id)
-        return feed.blocks if feed else 0
+        return feed.block_count if feed else 0
 
     def _record_depth(
         self, found: dict[str, int], mask: int, depth: int
@@ -208,7 +208,7 @@
             mask = table.get(block, 0)
             if not mask & bit:
                 table[block] = mask | bit
-                feed.blocks += 1
+                feed.block_count += 1
 
     def _evict(self, feed: FeedState, blocks: tuple[int, ...]) -> None:
         table, bit = self._table, feed.bit
@@ -216,7 +216,7 @@
             mask = table.get(block, 0)
             if not mask & bit:
                 continue
-            feed.blocks -= 1
+            feed.block_count -= 1
             if mask == bit:
                 del table[block]
             else:
--- a/knapweedarch/scheduler.py
+++ b/knapweedarch/scheduler.py
@@ -141,7 +141,7 @@
 
     def take_snapshot_requests(self) -> list[str]:
         """Returns and clears the runners that need a cache snapshot."""
-        return self._index.pop_gaps()
+        return self._index.take_snapshot_requests()
 
     def endpoint_lost(self, endpoint_id: str, now: float) -> None:
         """Records that a runner's feed was lost and drops its cache entries.
