--- a/knapweedarch/retries.py
+++ b/knapweedarch/retries.py
@@ -75,7 +75,9 @@
     return mean * rng.uniform(0.5, 1.5)
 
 
-def slow_start_limit(cfg: RetryConfig, started_at: float, now: float) -> float:
+def slow_start_fraction(
+    cfg: RetryConfig, started_at: float, now: float
+) -> float:
     """Returns the fraction of a runner's limit during slow start, 0.25 to 1."""
     return min(1.0, 0.25 + 0.75 * (now - started_at) / cfg.slow_start_s)
 
--- a/knapweedarch/scheduler.py
+++ b/knapweedarch/scheduler.py
@@ -398,7 +398,7 @@
     ) -> bool:
         load = self._loads[endpoint.id]
         limit = self._queue(ticket.model).fill_limit(rank) * endpoint.slots
-        limit *= retries.slow_start_limit(
+        limit *= retries.slow_start_fraction(
             self._cfg.retry_cfg, load.slow_start_at, now
         )
         return self._placer.occupancy(load) < max(1.0, limit)
