--- a/bench/world.py
+++ b/bench/world.py
@@ -201,7 +201,7 @@
         router.scheduler.set_endpoints(self._announced_endpoints, self.now)
         for name, runner in self.runners.items():
             if not runner.alive:
-                router.scheduler.endpoint_lost(name, self.now)
+                router.scheduler.feed_lost(name, self.now)
         self._request_snapshots(router)
 
     def _announce(
@@ -212,7 +212,7 @@
 
     def _feed_lost(self, router: Router, name: str) -> None:
         if router.alive:
-            router.scheduler.endpoint_lost(name, self.now)
+            router.scheduler.feed_lost(name, self.now)
 
     # Requests.
 
--- a/knapweedarch/endpoint_table.py
+++ b/knapweedarch/endpoint_table.py
@@ -131,9 +131,7 @@
                 except EndpointError as exc:
                     self._metrics.count("feed.lost")
                     log("feed_lost", endpoint=endpoint.id, reason=exc.reason)
-                    self._scheduler.endpoint_lost(
-                        endpoint.id, self._clock.now()
-                    )
+                    self._scheduler.feed_lost(endpoint.id, self._clock.now())
                 # The growing pause limits the cost of an endpoint that is gone.
                 await anyio.sleep(pause * self._random.uniform(0.5, 1.0))
                 pause = min(2 * pause, FEED_RETRY_MAX_S)
--- a/knapweedarch/scheduler.py
+++ b/knapweedarch/scheduler.py
@@ -143,7 +143,7 @@
         """Returns and clears the runners that need a cache snapshot."""
         return self._index.take_snapshot_requests()
 
-    def endpoint_lost(self, endpoint_id: str, now: float) -> None:
+    def feed_lost(self, endpoint_id: str, now: float) -> None:
         """Records that a runner's feed was lost and drops its cache entries.
 
         Until its next report the runner is used only if no other is eligible.
@@ -271,7 +271,9 @@
         expired = [w for w in queue if now >= w.ticket.deadline]
         done = [self._refuse_waiting(queue, entry) for entry in expired]
         stale = queue.least_recently_tried(STALE_TRIES_PER_POLL, now)
-        for entry in queue.ranked(self._placeable(queue, stale, now), now):
+        for entry in queue.ranked(
+            self._requests_to_try(queue, stale, now), now
+        ):
             if entry.ticket.id not in stale and not self._target_has_capacity(
                 entry, queue, now
             ):
@@ -286,7 +288,7 @@
                     done.append(self._refuse_waiting(queue, entry, reason))
         return done
 
-    def _placeable(
+    def _requests_to_try(
         self, queue: admission.RequestQueue, stale: set[str], now: float
     ) -> list[admission.QueuedRequest]:
         """Returns requests that are stale or whose target has capacity."""
@@ -434,9 +436,9 @@
             and (e.weights_version or not self._versions.get(ticket.model))
         ]
         healthy = [e for e in capable if not self._health.is_ejected(e.id, now)]
-        present = [e for e in healthy if e.id not in self._feed_lost]
-        untried = [e for e in present if e.id not in avoid]
-        return untried or present or healthy or capable
+        with_feed = [e for e in healthy if e.id not in self._feed_lost]
+        untried = [e for e in with_feed if e.id not in avoid]
+        return untried or with_feed or healthy or capable
 
     def _cache_fill(self, endpoint: models.Endpoint) -> float:
         if not endpoint.cache_blocks:
