--- a/knapweedarch/placement.py
+++ b/knapweedarch/placement.py
@@ -340,7 +340,7 @@
         cached: int,
         load: loads.RunnerLoad,
         fill: float,
-        rank: float,
+        rank_fraction: float,
         replicate_blocks: int,
         now: float,
     ) -> Candidate:
@@ -359,6 +359,6 @@
             + charge * (new_blocks - replicated) * block_s
             - cfg.replication_discount * replicated * block_s
             + cfg.occupancy_charge_s * self.occupancy(load) / endpoint.slots
-            + cfg.max_rank_charge_s * rank
+            + cfg.max_rank_charge_s * rank_fraction
         )
         return Candidate(endpoint, cached, wait, first_token, cost)
