--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -26,7 +26,7 @@
 def entitled_router(context, until, at):
     context.lease = Lease(until, 1)
     context.entitlement = Entitlement()
-    context.entitlement.acquire(7, 1, at)
+    context.entitlement.record_grant(7, 1, at)
 
 
 @when("the lease lapses and is granted again at {at:f} s")
--- a/knapweedarch/order_sender.py
+++ b/knapweedarch/order_sender.py
@@ -73,7 +73,7 @@
         ):
             case OrdersTaken(fencing_number=number):
                 now = self._clock.now()
-                self._entitlement.acquire(number, epoch, now)
+                self._entitlement.record_grant(number, epoch, now)
                 log("orders_taken", fencing_number=number)
                 return self._entitlement.is_held(self._lease, now)
         return False
--- a/knapweedarch/orders.py
+++ b/knapweedarch/orders.py
@@ -40,7 +40,7 @@
     epoch: int = -1
     acquired_at: float = 0.0
 
-    def acquire(self, number: int, epoch: int, now: float) -> None:
+    def record_grant(self, number: int, epoch: int, now: float) -> None:
         """Records that the leader granted the entitlement."""
         self.fencing_number, self.epoch, self.acquired_at = number, epoch, now
 
