--- a/features/decisions.feature
+++ b/features/decisions.feature
@@ -9,7 +9,8 @@
     And hashing it in pieces of 5000 bytes gives the same blocks
 
   Scenario: A gap in the events drops what a runner had
-    Guards against cached blocks that a missed event has evicted.
+    Guards against blocks that count as cached although a missed event evicted
+    them.
     Given 3 runners
     And runner r1 has stored the prompt as event 1
     When event 3 of runner r1 arrives
@@ -24,7 +25,8 @@
     Then no runner is known to cache the prompt
 
   Scenario: A snapshot replaces the entries of a runner
-    Guards against stale entries, and against events that the snapshot includes.
+    Guards against entries that the snapshot lacks, and against events that it
+    already includes.
     Given 3 runners
     And runner r1 has stored the prompt as event 1
     When an empty snapshot of runner r1 after event 5 arrives
@@ -62,7 +64,8 @@
     Then at least 2 runners get work and none gets more than 6
 
   Scenario: Work that cannot meet its deadline is refused on arrival
-    Guards against requests that wait in vain and delay others.
+    Guards against requests that cannot meet their deadline and delay others
+    while they wait.
     Given 3 runners with 4 slots
     And every runner reports 40 requests and 900000 queued tokens
     When a guest request arrives
@@ -129,7 +132,7 @@
     Then 3 runners are ejected
 
   Scenario: A runner that comes back is loaded slowly
-    Guards against a restarted runner that is overloaded with a cold cache.
+    Guards against a restarted runner that is overloaded while its cache is empty.
     Given 3 runners with 8 slots
     And runner r1 restarts as incarnation "new"
     And runner r0 is leaving
--- a/features/orders.feature
+++ b/features/orders.feature
@@ -2,14 +2,14 @@
 
   Scenario: The right to give orders ends with a lapse of the lease
     Guards against orders of a previous holder after another router took over.
-    Given a router whose lease runs until 12.0 s and that is entitled to order since 10.0 s
+    Given a router whose lease runs until 12.0 s and that has been entitled to order since 10.0 s
     Then it may order a runner that checks fencing numbers at 11.0 s
     When the lease lapses and is granted again at 13.0 s
     Then it may not order any runner at 13.1 s
 
   Scenario: A runner that ignores fencing numbers is ordered only after a wait
     Guards against a delayed order of the previous holder that arrives second.
-    Given a router whose lease runs until 12.0 s and that is entitled to order since 10.0 s
+    Given a router whose lease runs until 12.0 s and that has been entitled to order since 10.0 s
     Then it may not order a runner that ignores fencing numbers at 11.0 s
     When the lease is renewed without a lapse until 17.0 s
     Then it may order a runner that ignores fencing numbers at 15.5 s
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -7,6 +7,7 @@
 from knapweedarch.models import Endpoint, EndpointKind, ModelRule, Rules
 from knapweedarch.orders import Entitlement, Rollout
 
+# Duration of a weights load, in steps of 0.5 s.
 LOAD_STEPS = 3
 
 
@@ -20,8 +21,8 @@
 
 
 @given(
-    "a router whose lease runs until {until:f} s and that is entitled to order"
-    " since {at:f} s"
+    "a router whose lease runs until {until:f} s and that has been entitled to"
+    " order since {at:f} s"
 )
 def entitled_router(context, until, at):
     context.lease = Lease(until, 1)
@@ -64,7 +65,7 @@
 
 
 def allowed(context, checks, at):
-    """Returns whether the router may order one runner."""
+    """Returns whether the router may send an order to a runner."""
     endpoint = runner(1, checks=checks)
     return context.entitlement.may_order(endpoint, context.lease, at)
 
--- a/knapweedarch/admission.py
+++ b/knapweedarch/admission.py
@@ -24,9 +24,10 @@
     """Configuration of the queue.
 
     Attributes:
-        fill: Highest occupancy of a runner, as a fraction of its slots, at
-            which each class is still dispatched.
-        ageing_s: Waiting time per class by which a request is raised.
+        fill: Occupancy of a runner, as a fraction of its slots, below which
+            requests of each class are dispatched to it.
+        ageing_s: Interval in seconds; a waiting request counts as one class
+            higher after each.
         queue_limit: Maximum number of waiting requests per model.
     """
 
@@ -73,6 +74,8 @@
     def admit(self, ticket: models.Ticket, now: float) -> float | None:
         """Admits and counts a request if its customer's limits allow it.
 
+        A customer without a rule has no limits.
+
         Returns:
             None if admitted, otherwise the delay in seconds after which the
             caller should retry.
@@ -95,13 +98,13 @@
         return None
 
     def resume(self, ticket: models.Ticket) -> None:
-        """Counts a retried request again."""
+        """Counts a retried request as concurrent again, without a check."""
         state = self._customers.get(ticket.customer)
         if state is not None:
             state.active.add(ticket.id)
 
     def release(self, ticket: models.Ticket) -> None:
-        """Stops counting a request."""
+        """Stops counting a request as concurrent."""
         state = self._customers.get(ticket.customer)
         if state is not None:
             state.active.discard(ticket.id)
@@ -111,12 +114,15 @@
 class QueuedRequest:
     """A waiting request.
 
+    Times are in seconds on the router's clock.
+
     Attributes:
         ticket: The request.
-        queued_at: Time at which it was queued, in seconds.
+        queued_at: Time at which it was queued.
         not_before: Earliest dispatch time, set by the back-off of a retry.
         avoid: Ids of runners that failed this request.
-        start_tag: Start tag of fair queueing.
+        start_tag: Start tag of fair queueing, a virtual time in tokens divided
+            by share.
         last_tried_at: Time of the last placement attempt.
         target: Id of the runner that it waits for; empty if none is chosen.
     """
@@ -150,7 +156,7 @@
         return len(self._waiting) >= self._cfg.queue_limit
 
     def add(self, entry: QueuedRequest, share: float) -> None:
-        """Queues a request with its customer's weight."""
+        """Queues a request with its customer's weight in fair queueing."""
         ticket = entry.ticket
         key = (ticket.priority, ticket.customer)
         start = max(
@@ -174,7 +180,10 @@
         self._virtual_time[priority] = max(virtual, entry.start_tag)
 
     def least_recently_tried(self, count: int, now: float) -> set[str]:
-        """Returns the ids of the least recently tried requests."""
+        """Returns the ids of the `count` least recently tried requests.
+
+        Requests whose back-off has not ended are left out.
+        """
         ready = (w for w in self._waiting.values() if w.not_before <= now)
         oldest = heapq.nsmallest(count, ready, key=lambda w: w.last_tried_at)
         return {w.ticket.id for w in oldest}
@@ -188,17 +197,17 @@
     def _order(
         self, entry: QueuedRequest, now: float
     ) -> tuple[int, bool, float, float]:
-        """Returns the sort key; raised requests precede those of the class.
+        """Returns the sort key; requests raised into a class precede others.
 
-        Raised requests are separate because start tags of different classes
-        cannot be compared.
+        Raised requests are sorted separately, because start tags of different
+        classes cannot be compared.
         """
         rank = self.rank(entry, now)
         raised = rank < entry.ticket.priority
         return rank, not raised, entry.start_tag, entry.queued_at
 
     def rank(self, entry: QueuedRequest, now: float) -> int:
-        """Returns the class of a request after ageing."""
+        """Returns the class of a request after ageing, which ends at guest."""
         priority = int(entry.ticket.priority)
         raised = int((now - entry.queued_at) / self._cfg.ageing_s)
         return max(min(priority, int(models.Priority.GUEST)), priority - raised)
--- a/knapweedarch/feeds.py
+++ b/knapweedarch/feeds.py
@@ -20,7 +20,9 @@
             another incarnation.
     """
     if body["incarnation"] != endpoint.incarnation:
-        raise ValueError(f"feed event is of incarnation {body['incarnation']}")
+        raise ValueError(
+            f"feed event has another incarnation: {body['incarnation']}"
+        )
     source = endpoint.id, endpoint.incarnation
     match body["type"]:
         case "load":
--- a/knapweedarch/index.py
+++ b/knapweedarch/index.py
@@ -44,7 +44,14 @@
 
 
 class CacheIndex:
-    """Block hashes by runner, with prefix look-up."""
+    """Block hashes by runner, with prefix look-up.
+
+    `now` is the current time in seconds on one monotonic clock.
+
+    Args:
+        assumed_ttl_s: Time in seconds after which an assumed block that no
+            event has confirmed counts as absent.
+    """
 
     def __init__(self, assumed_ttl_s: float = ASSUMED_TTL_S):
         self._assumed_ttl_s = assumed_ttl_s
@@ -85,8 +92,8 @@
         """Applies a cache event.
 
         Returns:
-            False if the event was ignored because of an unknown runner,
-            another incarnation or a repeated number.
+            Whether the event was applied; False if its runner is unknown, its
+            incarnation is another one or it was already included.
         """
         feed = self._feeds.get(event.endpoint_id)
         if feed is None or feed.incarnation != event.incarnation:
@@ -112,8 +119,8 @@
         """Replaces the entries of a runner.
 
         Returns:
-            False if the snapshot was ignored because of an unknown runner or
-            another incarnation, or because a later event was applied.
+            Whether the snapshot was applied; False if its runner is unknown,
+            its incarnation is another one or a later event was applied.
         """
         feed = self._feeds.get(snapshot.endpoint_id)
         if feed is None or feed.incarnation != snapshot.incarnation:
@@ -130,7 +137,7 @@
         return True
 
     def take_snapshot_requests(self) -> list[str]:
-        """Returns and clears the runners that need a snapshot.
+        """Returns and clears the runners that need a cache snapshot.
 
         These are new runners, new incarnations and runners with a gap in
         their events.
@@ -188,6 +195,7 @@
             mask ^= bit
 
     def _open_feed(self, endpoint_id: str, incarnation: str) -> FeedState:
+        """Assigns an unused bit to a runner and retires its previous one."""
         old = self._feeds.get(endpoint_id)
         if old is not None:
             self._retire(old.bit)
@@ -259,7 +267,7 @@
             self._sweep_mask = 0
 
     def _free_bits(self, mask: int) -> None:
-        """Frees cleared bits unless an unexpired assumption still uses them."""
+        """Frees cleared bits, except those that assumed blocks still use."""
         for _, bit in self._expiry:
             if mask & bit:
                 self._retired_mask |= bit
--- a/knapweedarch/loads.py
+++ b/knapweedarch/loads.py
@@ -39,20 +39,23 @@
 class RunnerLoad:
     """Load of one runner.
 
+    Times are in seconds on this router's clock.
+
     Attributes:
         running: Reported number of requests in the batch.
         queued: Reported number of queued requests.
         queued_tokens: Reported prompt tokens not yet computed.
         urgent_tokens: Part of `queued_tokens` that belongs to guests and
             availability checks; all of them if the runner does not report it.
-        reported_at: Arrival time of the report on this router's clock.
+        reported_at: Arrival time of the last report; before the first one,
+            the time at which the runner was added.
         ended_since_report: Number of this router's attempts that the report
             includes and that ended after it.
         pending: Attempts of this router that the report does not include, by
             number.
         waiting_by_class: Number of requests by class in this router's queue
             that wait for this runner.
-        slow_start_at: Start of slow start; minus infinity without one.
+        slow_start_at: Start time of slow start; minus infinity without one.
     """
 
     running: int = 0
@@ -106,7 +109,7 @@
     def tokens_ahead(
         self, priority: models.Priority, pending_weight: float
     ) -> float:
-        """Estimates the prompt tokens computed before a new request.
+        """Estimates the prompt tokens computed before those of a new request.
 
         Args:
             priority: Class of the new request.
--- a/knapweedarch/models.py
+++ b/knapweedarch/models.py
@@ -45,7 +45,10 @@
 
 
 class RequestEnd(str, enum.Enum):
-    """Result of a caller's request."""
+    """Result of a caller's request.
+
+    `BROKEN_OFF` is a response that the router aborted after it had started.
+    """
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -81,14 +84,14 @@
 
 
 class EndpointKind(str, enum.Enum):
-    """Kind of an endpoint."""
+    """Whether an endpoint runs a model or is a plain service."""
 
     RUNNER = "runner"
     SERVICE = "service"
 
 
 class EndpointStatus(str, enum.Enum):
-    """Whether an endpoint may get new work."""
+    """State of an endpoint; only an active one gets new work."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
@@ -112,7 +115,7 @@
         slots: Requests that the endpoint runs concurrently without queueing.
         cache_blocks: Capacity of the prefix cache in blocks.
         checks_fencing: Whether the endpoint refuses outdated fencing numbers.
-        status: Whether the endpoint may get new work.
+        status: State of the endpoint; only an active one gets new work.
     """
 
     id: str
@@ -134,12 +137,19 @@
 
     @property
     def in_use(self) -> bool:
-        """Whether it is active or loading; a loading one gets no work."""
+        """Whether the endpoint runs and is to stay.
+
+        One that loads weights counts as in use but gets no new work.
+        """
         return self.status in (EndpointStatus.ACTIVE, EndpointStatus.LOADING)
 
     @property
     def weights_number(self) -> int:
-        """Weights version where versions are numbers; 0 for none."""
+        """Weights version as a number; 0 if empty.
+
+        Raises:
+            ValueError: The version is not a decimal number.
+        """
         return int(self.weights_version or 0)
 
 
@@ -294,10 +304,12 @@
     """Result of an attempt.
 
     Attributes:
-        failure: Reason of the failure; None after a complete answer.
+        failure: Reason of the failure; None after a complete answer or a
+            cancellation.
         cached_tokens: Prompt tokens found in the cache, as reported by the
             endpoint; None if not reported.
-        cancelled: Whether the caller disconnected before the end.
+        cancelled: Whether the router ended the attempt early, for example
+            because the caller disconnected.
     """
 
     failure: RetryReason | None = None
@@ -332,7 +344,7 @@
 
 @attrs.frozen
 class ModelRule:
-    """Rule of a model.
+    """Required weights version and time limit of a model.
 
     Attributes:
         name: Model name.
@@ -349,7 +361,7 @@
 
 @attrs.frozen
 class ServiceRule:
-    """Rule of a plain service.
+    """Time limit of a plain service and the calls not to be repeated.
 
     Attributes:
         name: Service name.
--- a/knapweedarch/order_sender.py
+++ b/knapweedarch/order_sender.py
@@ -19,7 +19,16 @@
 
 
 class OrderSender:
-    """Acquires the entitlement to send orders and sends those due."""
+    """Acquires the entitlement to send orders and sends those due.
+
+    Args:
+        incarnation: Incarnation of this router.
+        lease: Lease of this router.
+        control: Client that requests the entitlement from the leader.
+        adapter: Sends the orders to runners.
+        clock: Clock of this router.
+        metrics: Counts failed orders.
+    """
 
     def __init__(
         self,
@@ -64,7 +73,9 @@
             self._busy = False
 
     async def _acquire_entitlement(self) -> bool:
-        """Acquires the entitlement; returns False if another router has it."""
+        """Acquires the entitlement if needed; returns whether it is held."""
+        # Read before the request: if the lease lapses while the request is in
+        # progress, the granted entitlement is not valid.
         epoch = self._lease.epoch
         if self._entitlement.is_held(self._lease, self._clock.now()):
             return True
--- a/knapweedarch/orders.py
+++ b/knapweedarch/orders.py
@@ -2,8 +2,9 @@
 
 Only one router at a time sends orders. Its entitlement is valid as long as
 its lease is renewed without a lapse, and the leader grants it to another
-router only after that lease has expired on both sides. A fencing number alone
-is not sufficient, because some endpoints ignore it.
+router only after that lease has expired on the clocks of both the leader and
+the router. A fencing number alone is not sufficient, because some endpoints
+ignore it.
 """
 
 from collections.abc import Sequence
@@ -19,10 +20,14 @@
 )
 from knapweedarch.placement import plan_loads
 
-# The sender gives up an order after this time, also one sent immediately
-# before its lease expired.
+# Time after which the sender gives up an order, including one that it sent
+# immediately before its lease expired.
 ORDER_TIMEOUT_S = 5.0
+
+# Time after which a load that has not ended no longer counts as in progress.
 LOAD_TIMEOUT_S = 10.0
+
+# Delay before the next order to a runner whose last order failed.
 FAILED_ORDER_DELAY_S = 2.0
 
 
@@ -33,7 +38,8 @@
     Attributes:
         fencing_number: Number sent with each order.
         epoch: Epoch of the lease under which the entitlement was acquired.
-        acquired_at: Time of the acquisition, in seconds.
+        acquired_at: Time of the acquisition on this router's clock, in
+            seconds.
     """
 
     fencing_number: int = 0
@@ -92,7 +98,8 @@
     ) -> list[LoadOrder]:
         """Returns the orders to send now.
 
-        Models with the lowest first-token bound, which guests use, come first.
+        Models with the shortest first-token limit, which serve guests, come
+        first.
         """
         runners = [
             e
@@ -115,6 +122,8 @@
         runners: Sequence[Endpoint],
         now: float,
     ) -> list[LoadOrder]:
+        # Runners that have the version are included, because `plan_loads`
+        # limits the loads to a third of the runners that it is given.
         eligible = [
             r
             for r in runners
@@ -144,12 +153,15 @@
                 del self._loading[endpoint_id]
 
     def record_failure(self, order: LoadOrder, now: float) -> None:
-        """Records an order that was refused, unconfirmed or not sent."""
+        """Records an order that was refused, unconfirmed or not sent.
+
+        The next order to its runner is delayed.
+        """
         self._loading.pop(order.endpoint.id, None)
         self._paused_until[order.endpoint.id] = now + FAILED_ORDER_DELAY_S
 
     def is_needed(self, rules: Rules, endpoints: Sequence[Endpoint]) -> bool:
-        """Returns whether any runner lacks the version in the rules."""
+        """Returns whether any active runner lacks the version in the rules."""
         versions = _versions(rules)
         return any(
             _lacks_wanted_version(endpoint, versions)
--- a/knapweedarch/placement.py
+++ b/knapweedarch/placement.py
@@ -1,7 +1,8 @@
 """Estimates the cost of each candidate runner for a request.
 
 The cost is the expected time to the first token in seconds, plus charges for
-recomputed and evicted blocks, for occupancy and for a low rendezvous rank.
+recomputed and evicted blocks, for occupancy and for a late position in the
+rendezvous order. `plan_loads` chooses the runners that load new weights.
 """
 
 import math
@@ -25,25 +26,32 @@
 class PlacementConfig:
     """Parameters of the cost function.
 
+    Durations, delays and charges are in seconds.
+
     Attributes:
         prefill_tokens_s: Prompt tokens that a runner computes per second.
         service_s: Mean time that a request occupies a slot of the batch.
-        distance_s: One-way delay to each data centre in seconds.
+        distance_s: One-way delay to each data centre.
         far_s: One-way delay to a data centre not listed.
-        eviction_weight: Charge for a recomputed block when the runner's cache
-            is full, as a fraction of the block's prefill time.
-        recompute_weight: Charge for a recomputed block for the requests that
-            it delays, as a multiple of the block's prefill time.
-        max_rank_charge_s: Charge for the lowest rank in the rendezvous order.
-        peer_routers: Number of routers that use the same load reports.
-        peer_weight: Fraction of the other routers' expected sends that is
-            counted.
-        occupancy_charge_s: Charge for a full batch, proportional below that.
+        eviction_weight: Charge for the block that a recomputed block evicts
+            from a full cache, as a fraction of the block's prefill time;
+            proportional to the fill of the cache.
+        recompute_weight: Charge for the delay of other requests by a recomputed
+            block, as a multiple of the block's prefill time.
+        max_rank_charge_s: Upper bound of the charge for a runner's position in
+            the rendezvous order; proportional to the position.
+        peer_routers: Number of routers, including this one, that use the same
+            load reports.
+        peer_weight: Fraction of the other routers' unreported requests that is
+            counted; each router is assumed to have as many as this one.
+        occupancy_charge_s: Charge for an occupancy equal to the runner's
+            slots; proportional to the occupancy.
         replication_discount: Fraction of a block's prefill time that is
-            deducted where a hot prefix needs one more runner.
+            deducted from the cost of a runner to which a hot prefix is to be
+            replicated.
         hot_window_s: Time constant of the measured arrival rates.
-        hot_load_target: Load of one runner, as a fraction of its capacity,
-            above which a prefix is replicated to one more runner.
+        hot_load_target: Load from a prefix on one runner, as a fraction of the
+            runner's capacity, above which one more runner gets the prefix.
     """
 
     prefill_tokens_s: float = 20_000.0
@@ -81,7 +89,11 @@
 
 
 class HotPrefixes:
-    """Exponentially decayed arrival rates of prompt prefixes."""
+    """Exponentially decayed arrival rates of prompt prefixes.
+
+    Args:
+        window_s: Time constant of the decay, in seconds.
+    """
 
     def __init__(self, window_s: float):
         self._window_s = window_s
@@ -104,7 +116,10 @@
         return count * math.exp((at - now) / self._window_s) / self._window_s
 
     def rate_lower_bound(self, block: int, now: float) -> float:
-        """Returns the rate less one standard deviation of the count."""
+        """Returns the rate less one standard deviation of the count.
+
+        The result is in arrivals per second and at least 0.
+        """
         count = self.rate(block, now) * self._window_s
         return max(0.0, count - math.sqrt(count)) / self._window_s
 
@@ -124,8 +139,9 @@
 ) -> list[str]:
     """Orders runners by the hash of block and runner, highest first.
 
-    Every router computes the same order without communication, and a runner
-    that joins or leaves changes the first runner of only its own blocks.
+    Every router computes the same order without communication. When a runner
+    joins or leaves, only the blocks for which it is first get another first
+    runner.
     """
     key = block.to_bytes(8, "big")
     return sorted(
@@ -138,7 +154,7 @@
 def common_depth(
     blocks: Sequence[int], depths: Mapping[str, int], candidates: int
 ) -> int:
-    """Returns the number of blocks cached by at least half the candidates."""
+    """Returns how many leading blocks at least half the candidates have."""
     order = sorted(depths.values(), reverse=True)
     needed = (candidates + 1) // 2
     if len(order) < needed:
@@ -150,7 +166,8 @@
     """Returns the block whose rendezvous order breaks ties.
 
     It is the first block that fewer than half of the candidates have, so
-    that requests with a widely cached prefix are spread over its runners.
+    that requests with a widely cached prefix are spread over the runners that
+    have the prefix. If all blocks are widely cached, it is the last one.
     """
     if not blocks:
         return None
@@ -171,7 +188,8 @@
     may be out of service at the same time.
 
     Args:
-        runners: Runners of the model, those least used by guests first.
+        runners: Runners in the order in which they should load the version;
+            those that do not serve the model are ignored.
         model: Model name.
         version: Required version.
         loading: Number of loads of any model in progress.
@@ -203,7 +221,11 @@
         self._rank_cache: dict[tuple[int, tuple[str, ...]], dict[str, int]] = {}
 
     def set_peer_routers(self, count: int) -> None:
-        """Sets the number of routers that use the same load reports."""
+        """Sets the number of routers that use the same load reports.
+
+        Args:
+            count: Number of routers, including this one.
+        """
         self._cfg = attrs.evolve(self._cfg, peer_routers=max(1, count))
         self._pending_weight = 1 + self._cfg.peer_weight * (
             self._cfg.peer_routers - 1
@@ -270,6 +292,7 @@
         if block is None:
             block = xxhash.xxh3_64_intdigest(ticket.id.encode())
         ranks = self._ranks(block, endpoints)
+        # Urgent requests do not pay the prefill time of a replication.
         may_replicate = not loads.is_urgent(ticket.priority)
         found = []
         for endpoint in endpoints:
@@ -302,7 +325,7 @@
 
         Returns:
             Last block of the prefix, number of runners that it needs, and
-            its length in blocks.
+            its length in blocks; None, 1 and 0 if there is no such prefix.
         """
         cfg = self._cfg
         slots = sum(e.slots for e in endpoints) / len(endpoints)
@@ -344,6 +367,20 @@
         replicate_blocks: int,
         now: float,
     ) -> Candidate:
+        """Returns a runner with its cost.
+
+        Args:
+            ticket: The request.
+            endpoint: The runner.
+            cached: Number of leading blocks in the runner's cache.
+            load: Load of the runner.
+            fill: Used fraction of the runner's cache, 0 to 1.
+            rank_fraction: Position in the rendezvous order after the runners
+                that the prefix needs, as a fraction of all runners.
+            replicate_blocks: Length in blocks of the prefix that is to be
+                replicated to the runner; 0 for none.
+            now: Time of the router's clock in seconds.
+        """
         cfg = self._cfg
         wait = self.wait_s(endpoint, load, ticket.priority, now)
         block_s = prefixes.BLOCK_TOKENS / cfg.prefill_tokens_s
--- a/knapweedarch/prefixes.py
+++ b/knapweedarch/prefixes.py
@@ -38,7 +38,7 @@
     """Hashes a prompt incrementally.
 
     The hash of a block covers the salt and every byte up to the end of the
-    block. Only full blocks are hashed, because engines share only full blocks.
+    block. Only full blocks are hashed, because runners share only full blocks.
     """
 
     def __init__(self, salt: bytes):
@@ -91,7 +91,8 @@
         prompt: The complete prompt, or its bytes in chunks.
 
     Returns:
-        One 64-bit hash per full block, each covering all bytes before it.
+        One 64-bit hash per full block, each covering the salt and all bytes
+        up to the end of its block.
     """
     hasher = BlockHasher(salt)
     match prompt:
@@ -106,7 +107,7 @@
 
 
 def hash_steps(hasher: BlockHasher, prompt: bytes) -> Iterator[int]:
-    """Feeds a long prompt in bounded steps.
+    """Feeds a long prompt to a hasher in bounded steps.
 
     Yields the number of bytes hashed so far after each step of `STEP_BYTES`,
     so that the caller can yield to its event loop between steps.
--- a/knapweedarch/retries.py
+++ b/knapweedarch/retries.py
@@ -12,6 +12,8 @@
 class RetryConfig:
     """Configuration of retries, ejection and slow start.
 
+    Durations are in seconds.
+
     Attributes:
         ratio: Retries allowed per first attempt.
         reserve: Retries allowed without preceding first attempts; also the
@@ -23,8 +25,8 @@
             one.
         max_ejection_s: Upper bound of the ejection time before jitter.
         failures: Number of consecutive failures that eject an endpoint.
-        slow_factor: Ratio of an endpoint's lateness to the median of its
-            peers above which it is ejected.
+        slow_factor: Ratio of an endpoint's lateness to the median of all
+            endpoints of its model above which it is ejected.
         slow_floor_s: Lateness below which no endpoint counts as slow.
         samples: First tokens required before an endpoint can count as slow.
         slow_start_s: Duration of slow start.
@@ -56,7 +58,7 @@
         self._tokens = min(self._cfg.reserve, self._tokens + self._cfg.ratio)
 
     def try_spend(self) -> bool:
-        """Spends one retry; returns False if the budget is exhausted."""
+        """Spends one retry; returns whether the budget allowed it."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -78,7 +80,7 @@
 def slow_start_fraction(
     cfg: RetryConfig, started_at: float, now: float
 ) -> float:
-    """Returns the fraction of a runner's limit during slow start, 0.25 to 1."""
+    """Returns the allowed fraction of a runner's occupancy limit, 0.25 to 1."""
     return min(1.0, 0.25 + 0.75 * (now - started_at) / cfg.slow_start_s)
 
 
@@ -119,11 +121,12 @@
         peers: Sequence[str],
         now: float,
     ) -> None:
-        """Records a first token and its lateness.
+        """Records a first token and averages its lateness; ejects if slow.
 
         Args:
             endpoint_id: The endpoint.
-            lateness_s: Actual less expected time to the first token.
+            lateness_s: Actual less expected time to the first token, in
+                seconds; negative values count as 0.
             peers: Ids of all endpoints of the same model.
             now: Time of the router's clock in seconds.
         """
@@ -152,7 +155,10 @@
     def _eject(
         self, endpoint_id: str, peers: Sequence[str], now: float
     ) -> None:
-        """Ejects an endpoint; at most a third of its peers may be ejected."""
+        """Ejects an endpoint if at most a third of `peers` is then ejected.
+
+        `peers` are the endpoints of the same model, including this one.
+        """
         ejected_peers = sum(
             self.is_ejected(p, now) for p in peers if p != endpoint_id
         )
--- a/knapweedarch/scheduler.py
+++ b/knapweedarch/scheduler.py
@@ -19,18 +19,27 @@
     retries,
 )
 
-# Number of requests waiting for a full runner that one poll tries to place on
-# another runner, least recently tried first. Bounds the duration of a poll.
+# Number of waiting requests per model that a poll tries to place although their
+# target runner is full, least recently tried first. Bounds the duration of a
+# poll.
 STALE_TRIES_PER_POLL = 4
 
-# Waiting requests are also retried periodically, because the expected load
+# Waiting requests are also tried periodically, because the expected load
 # decreases with time and not only on events.
 POLL_INTERVAL_S = 0.05
 
 
 @attrs.frozen
 class SchedulerConfig:
-    """Configuration of all components of the scheduler."""
+    """Configuration of all components of the scheduler.
+
+    Attributes:
+        placement_cfg: Parameters of the cost function.
+        admission_cfg: Configuration of the queues.
+        retry_cfg: Configuration of retries, ejection and slow start.
+        assumed_ttl_s: Time in seconds after which blocks that no cache event
+            has confirmed count as absent.
+    """
 
     placement_cfg: placement.PlacementConfig = attrs.field(
         factory=placement.PlacementConfig
@@ -56,7 +65,10 @@
 
 
 class Scheduler:
-    """Combines the cache index, placement, admission and retries."""
+    """Combines the cache index, placement, admission and retries.
+
+    `now` is the current time in seconds on one monotonic clock.
+    """
 
     def __init__(
         self, cfg: SchedulerConfig, placer: placement.Placer, seed: int
@@ -102,15 +114,19 @@
         self._versions = {m.name: m.version for m in rules.models}
 
     def set_peer_routers(self, count: int) -> None:
-        """Sets the number of routers that use the same load reports."""
+        """Sets the number of routers that use the same load reports.
+
+        Args:
+            count: Number of routers, including this one.
+        """
         self._placer.set_peer_routers(count)
 
     def version_for(self, model: str) -> str:
         """Returns the weights version used to hash a prompt.
 
         This is the version that the rules require, otherwise the one that
-        most runners serve. Runners with another version never match, because
-        the version is part of the block hashes.
+        most runners serve. The cached blocks of runners with another version
+        never match, because the version is part of the block hashes.
         """
         if self._versions.get(model):
             return self._versions[model]
@@ -130,7 +146,7 @@
         self._loads[endpoint.id].apply_report(report, now)
 
     def cache_event(self, event: models.CacheEvent, now: float) -> None:
-        """Applies a cache event."""
+        """Applies an event to the known cache contents of a runner."""
         self._index.apply(event)
 
     def cache_snapshot(
@@ -172,7 +188,7 @@
     def retry(
         self, ticket: models.Ticket, failed: models.Attempt, now: float
     ) -> models.Decision:
-        """Decides on a request whose attempt failed.
+        """Queues a request whose attempt failed, or refuses a further attempt.
 
         The ticket may differ from that of the failed attempt: a resumed
         stream requires a weights version and has a new deadline.
@@ -243,7 +259,7 @@
             )
 
     def withdraw(self, ticket_id: str, now: float) -> None:
-        """Removes a request whose caller left or that is not retried."""
+        """Removes a request whose caller left or that will not be retried."""
         self._retry_counts.pop(ticket_id, None)
         for queue in self._queues.values():
             entry = queue.remove(ticket_id)
@@ -252,7 +268,11 @@
                 self._release(entry.ticket)
 
     def poll(self, now: float) -> list[tuple[str, models.Decision]]:
-        """Returns decisions for the requests that no longer wait."""
+        """Refuses expired requests and tries to place the other waiting ones.
+
+        Returns:
+            Request id and decision of each request that no longer waits.
+        """
         done: list[tuple[str, models.Decision]] = []
         for queue in self._queues.values():
             if len(queue):
@@ -260,7 +280,7 @@
         return done
 
     def next_wake(self, now: float) -> float | None:
-        """Returns the time of the next useful poll; None if none is due."""
+        """Returns the time of the next poll, or None if no request waits."""
         if not any(len(queue) for queue in self._queues.values()):
             return None
         return now + POLL_INTERVAL_S
@@ -291,7 +311,10 @@
     def _requests_to_try(
         self, queue: admission.RequestQueue, stale: set[str], now: float
     ) -> list[admission.QueuedRequest]:
-        """Returns requests that are stale or whose target has capacity."""
+        """Returns the requests in `stale` and those whose target has capacity.
+
+        Requests whose back-off has not ended are left out.
+        """
         free: dict[tuple[str, int], bool] = {}
         found = []
         for entry in queue:
@@ -310,7 +333,7 @@
         queue: admission.RequestQueue,
         now: float,
     ) -> bool:
-        """Returns whether the target runner of a request has capacity."""
+        """Returns whether the target has capacity; True if it is unknown."""
         endpoint = self._endpoints.get(entry.target)
         return endpoint is None or self._has_capacity(
             endpoint, entry.ticket, queue.rank(entry, now), now
@@ -352,7 +375,11 @@
         now: float,
         arriving: bool = False,
     ) -> models.Decision:
-        """Dispatches or refuses a request, or lets it wait for a runner."""
+        """Dispatches or refuses a request, or lets it wait for a runner.
+
+        An arriving request does not overtake requests of the same or a higher
+        class that wait for the same runner.
+        """
         ticket = entry.ticket
         self._set_target(entry, "")
         endpoints = self._eligible(ticket, entry.avoid, now)
@@ -398,6 +425,10 @@
         rank: int,
         now: float,
     ) -> bool:
+        """Returns whether a runner's occupancy is below the limit of a class.
+
+        A runner with an occupancy below 1 always has capacity.
+        """
         load = self._loads[endpoint.id]
         limit = self._queue(ticket.model).fill_limit(rank) * endpoint.slots
         limit *= retries.slow_start_fraction(
@@ -422,10 +453,15 @@
     def _eligible(
         self, ticket: models.Ticket, avoid: frozenset[str], now: float
     ) -> list[models.Endpoint]:
-        """Returns eligible runners, excluding failing ones if possible."""
+        """Returns the runners that may run a request.
+
+        Ejected runners, runners whose feed is lost and runners in `avoid` are
+        excluded as long as others remain.
+        """
         # Only a resumed stream requires a version. During a roll-out runners
         # with the older version keep serving, otherwise capacity would drop
-        # to the few that have loaded the new one.
+        # to the few that have loaded the new one. A runner that reports no
+        # version is excluded if the rules require one.
         version = ticket.weights_version
         capable = [
             e
@@ -449,7 +485,10 @@
     def _add_runner(
         self, runner: models.Endpoint, initial: bool, now: float
     ) -> None:
-        """Initializes a runner; it slow-starts unless the router is new."""
+        """Adds a new or restarted runner.
+
+        It gets slow start unless the router knew no runners before.
+        """
         self._index.set_endpoint(runner.id, runner.incarnation)
         load = loads.RunnerLoad(reported_at=now)
         if not initial:
--- a/knapweedarch/timers.py
+++ b/knapweedarch/timers.py
@@ -1,4 +1,4 @@
-"""Clocks, and timers that call subscribers of a process."""
+"""Clocks, and timers that run callbacks."""
 
 import heapq
 import itertools
@@ -50,10 +50,11 @@
 
 
 class Timers:
-    """Calls subscribers once or periodically.
+    """Runs callbacks once or periodically.
 
-    An exception of a subscriber propagates out of `run`: an error in a periodic
-    task must stop the process instead of being lost.
+    A callback gets the current time of `clock` in seconds. An exception of a
+    callback propagates out of `run`: an error in a periodic task must stop the
+    process instead of being lost.
     """
 
     def __init__(self, clock: Clock | ManualClock):
@@ -97,7 +98,7 @@
         return self._heap[0][0] if self._heap else None
 
     def fire(self) -> int:
-        """Calls every subscriber that is due; returns the number of calls."""
+        """Runs every callback that is due; returns the number of calls."""
         now = self.clock.now()
         fired = 0
         while (due := self.next_due()) is not None and due <= now:
