--- a/features/endpoint_registry.feature
+++ b/features/endpoint_registry.feature
@@ -6,16 +6,16 @@
     Given active runner "a" with weights <others>
     And runner "b" with weights 1 is <before>
     And weights 2 are the target
-    When runner "b" sends a heartbeat with weights <told>
+    When runner "b" sends a heartbeat with weights <reported>
     Then runner "b" is <after>
 
     Examples:
-      | others | before  | told | after   |
-      | 2      | silent  | 1    | loading |
-      | 2      | unknown | 1    | loading |
-      | 2      | silent  | 2    | active  |
-      | 1      | silent  | 1    | active  |
-      | 2      | active  | 1    | active  |
+      | others | before  | reported | after   |
+      | 2      | silent  | 1        | loading |
+      | 2      | unknown | 1        | loading |
+      | 2      | silent  | 2        | active  |
+      | 1      | silent  | 1        | active  |
+      | 2      | active  | 1        | active  |
 
   Scenario: A later start at an address ends the one before
     Guards against requests to an instance whose address another instance has
--- a/features/heavy_load.feature
+++ b/features/heavy_load.feature
@@ -1,4 +1,4 @@
-Feature: Runner choice, caches and retries under heavy load
+Feature: Runner choice, caches and repeats under heavy load
 
   Scenario: Long prompts that arrive at eight routers at once spread out
     Load: a burst of prompts of 9,000 tokens; each router sees only its own.
@@ -28,7 +28,7 @@
     Given 1 router and 2 runners
     And only runner 2 has the latest weights
     Then a long prompt goes to runner 2
-    And a retried request goes to runner 2 with 10 streams there
+    And a repeated request goes to runner 2 with 10 streams there
     And after 6.6 s only runner 2 gets requests at any load
 
   Scenario: A runner that refuses connections is left alone
@@ -79,10 +79,10 @@
 
   Scenario Outline: Repeats of all routers stay within the bound of any window
     Load: runners crash under high load, and routers restart.
-    Guards against retries that prolong an overload.
+    Guards against repeats that prolong an overload.
     Given a bound of 0.2 per request plus 56 in 10 s for 8 routers
     When each router gets 5 requests a second and every one fails <restarts>
-    Then no window of 10 s has more retries than the bound allows
+    Then no window of 10 s has more repeats than the bound allows
 
     Examples:
       | restarts                      |
--- a/features/steps/endpoint_registry_steps.py
+++ b/features/steps/endpoint_registry_steps.py
@@ -35,7 +35,11 @@
         self.is_leader = self.outcomes_known = True
 
     async def propose(self, command: object) -> object | None:
-        """Commits a command."""
+        """Commits a command; returns its result, or None if it is unknown.
+
+        Raises:
+            NotLeaderError: The member is not the leader.
+        """
         if not self.is_leader:
             raise NotLeaderError("another member leads")
         if not self.outcomes_known:
--- a/features/steps/heavy_load_steps.py
+++ b/features/steps/heavy_load_steps.py
@@ -1,4 +1,4 @@
-"""Steps for runner choice, caches and retries under load, without network."""
+"""Steps for runner choice, caches and repeats under load, without network."""
 
 import random
 
@@ -72,7 +72,11 @@
 
 
 def simulate_burst(context, per_router: int, shared: bool) -> int:
-    """Places a burst; returns the maximum of long prompts at one runner."""
+    """Simulates a burst of long prompts at the same time at all routers.
+
+    Returns:
+        The largest number of prompts for which one runner was chosen.
+    """
     choosers = [create_chooser() for _ in context.choosers]
     aggregator, counts = LoadAggregator(), dict.fromkeys(context.runners, 0)
     # Random documents, whose hashes do not spread them evenly over runners.
@@ -161,7 +165,7 @@
     check_must_choose(context, 2)
 
 
-@then("a retried request goes to runner 2 with {count:d} streams there")
+@then("a repeated request goes to runner 2 with {count:d} streams there")
 def check_retry_with_streams(context, count):
     for _ in range(count):
         context.choosers[0].record_sent(
@@ -243,7 +247,10 @@
 
 
 def fetch_source(context, number: int) -> str:
-    """Returns the address from which a runner fetches the shared parts."""
+    """Returns the address from which a runner fetches the shared parts.
+
+    It is empty if the runner fetches nothing.
+    """
     index, prompt = parts_index(context), create_long_prompt()
     own = context.runners[number - 1].address
     others = [r.address for r in context.runners if r.address != own]
@@ -299,6 +306,7 @@
     context.router_count = routers
 
 
+# Whether a router restarts, by time in seconds and number of the router.
 RESTARTS = {
     "without a restart": lambda at, number: False,
     "with a restart of all routers at 20 s": lambda at, number: at == 20.0,
@@ -325,7 +333,7 @@
                 context.retry_times.append(at)
 
 
-@then("no window of {window:d} s has more retries than the bound allows")
+@then("no window of {window:d} s has more repeats than the bound allows")
 def check_retry_bound(context, window):
     limits = context.limits
     assert context.retry_times
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -28,12 +28,15 @@
 LOAD_S = 0.3
 TAKEOVER_DELAY_S = 0.6
 MODEL = "m"
-# Above the load below which more runners may drain concurrently.
+# Requests per runner; above the low load under which more runners may drain.
 BUSY_REQUESTS = 5
 
 
 class FakeMember:
-    """Applies commands immediately; replaces the member and its leader."""
+    """Stands for a member, its leader and its registry of endpoints.
+
+    Commands are applied immediately.
+    """
 
     def __init__(self):
         self.state = ControlState()
@@ -57,7 +60,10 @@
         self.changed = anyio.Event()
 
     def requests_at(self, endpoint_id: str) -> int:
-        """Returns the requests per endpoint; any number delays drains fully."""
+        """Returns the same number for all endpoints.
+
+        A number above 0 makes each drain last until its timeout.
+        """
         return self.requests
 
     def last_loading_at(self) -> float:
@@ -75,7 +81,16 @@
 
 @attrs.define
 class FakeRunner:
-    """A runner that loads weights in `LOAD_S`."""
+    """A runner that loads weights in `LOAD_S` seconds.
+
+    Attributes:
+        endpoint: Its endpoint.
+        version: Version of the loaded weights.
+        accepted: Number of orders that it accepted.
+        loading: Whether it is loading weights.
+        unanswered_orders: Number of next orders that it does not answer.
+        queue_ends_at: Time in seconds until which it has queued requests.
+    """
 
     endpoint: Endpoint
     version: int
@@ -86,7 +101,17 @@
 
 
 class FakeOrders:
-    """Executes orders and announces the loaded weights."""
+    """Executes orders and announces the loaded weights.
+
+    Attributes:
+        member: Receives the announcements.
+        group: Task group in which runners load.
+        runners: Runners by endpoint id.
+        orders: Endpoint id and order, of all orders sent.
+        refused_orders: Orders that a runner refused.
+        most_loading: Largest number of runners that loaded concurrently.
+        interrupted_queues: Number of orders to runners with queued requests.
+    """
 
     def __init__(self, member: FakeMember, group):
         self.member = member
@@ -106,7 +131,11 @@
         )
 
     async def load(self, endpoint: Endpoint, order: LoadWeightsOrder) -> bool:
-        """Starts a load unless the order is outdated or a load is running."""
+        """Starts a load unless the order is outdated or a load is running.
+
+        Raises:
+            ExchangeError: The runner does not answer the order.
+        """
         runner = self.runners[endpoint.id]
         self.orders.append((endpoint.id, order))
         if runner.unanswered_orders:
--- a/features/weights_rollout.feature
+++ b/features/weights_rollout.feature
@@ -9,7 +9,7 @@
     And at most 3 runners loaded and at most 4 were out of use at once
 
   Scenario: Weights that are named during a load come next
-    Guards against waiting for a version that was never ordered.
+    Guards against a roll-out that waits for a version that was never ordered.
     Given a leading member and 3 runners with weights 1
     When weights 2 are named and weights 3 are named 0.6 s later
     Then within 8.0 s every runner is in use with weights 3
@@ -46,8 +46,9 @@
     And each order contains the number of orders accepted before it
 
   Scenario: A runner begins what it took before it loads
-    New weights arrive while runners are fully loaded. Guards against queued
-    requests that are refused because of an order and use up the repeat budget.
+    New weights arrive while runners are fully loaded. Guards against an order
+    that makes a runner refuse requests that waited in its queue, and so uses up
+    the repeat budget.
     Given a leading member and 3 runners with weights 1
     And runner 1 has queued requests for 1.4 s
     When weights 2 are named
--- a/knapweedarch/deployments.py
+++ b/knapweedarch/deployments.py
@@ -14,7 +14,12 @@
 
 
 class Repeatability(str, enum.Enum):
-    """How often the requests of a route may run."""
+    """How often the requests of a route may run.
+
+    `IDEMPOTENT` requests may run any number of times, `ONCE` requests once.
+    `STREAM` requests are answered by an event stream; they may run more than
+    once only if the route is resumable.
+    """
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -43,14 +48,16 @@
         host: Value of the Host header, in lower case and without a port.
         path_prefix: Prefix of the path; begins and ends with a slash.
         repeatability: Whether requests may be sent again.
-        timeout_s: Longest time until the caller gets an answer.
-        goal_s: Latency goal.
+        timeout_s: Longest time in seconds until the caller gets an answer.
+        goal_s: Latency goal: time in seconds within which an answer, or the
+            first event of a stream, is fully useful.
         priority: Priority; 0 is the most urgent.
         split: Services and their shares.
         attempts: Maximum number of endpoints that a request is sent to.
         public: Whether callers need no key.
         resumable: Whether a broken stream may be resumed at another endpoint.
-        event_gap_s: Longest acceptable pause between events of a stream.
+        event_gap_s: Longest useful pause between events of a stream, in
+            seconds.
     """
 
     name: str
@@ -86,7 +93,7 @@
         memory_tokens: Capacity of a runner's memory in tokens.
         token_bytes: Memory per token in bytes.
         link_bits_s: Bandwidth of a runner's link in bits per second.
-        feed_limit: Concurrent calls for cache events that a runner accepts.
+        feed_limit: Concurrent calls for cache events that a runner keeps open.
         models: Names of the models served.
     """
 
@@ -104,8 +111,9 @@
 
     Attributes:
         name: Name of the service.
-        health_path: Path of its health check.
-        max_connections: Connections that one endpoint accepts in total.
+        health_path: Path of its health check; empty if none is set.
+        max_connections: Connections that one endpoint accepts from all callers
+            together; 0 if no number is set.
         engine: Properties of its runners; None for a plain service.
     """
 
@@ -139,8 +147,10 @@
     Attributes:
         header_bytes: Largest request head in bytes.
         body_bytes: Largest request body in bytes.
-        header_s: Longest time from the first byte to the end of the head.
-        idle_s: Longest time that a connection stays open without a request.
+        header_s: Longest time from the first byte to the end of the head, in
+            seconds.
+        idle_s: Longest time that a connection stays open without a request, in
+            seconds.
     """
 
     header_bytes: int = 16_384
@@ -156,8 +166,8 @@
     Attributes:
         name: Name of the customer.
         keys: Keys by which its callers authenticate.
-        priority: Priority, which takes precedence over a route's; None if
-            none is set.
+        priority: Priority, which takes precedence over a route's; 0 is the most
+            urgent; None if none is set.
         isolated: Whether cache entries are never shared with other customers.
     """
 
@@ -172,7 +182,7 @@
     """A complete configuration.
 
     Attributes:
-        version: Version number.
+        version: Version number; the highest one is in force.
         routes: Routes; each pair of host and path prefix is unique.
         services: Services.
         stores: KV cache stores.
@@ -189,10 +199,10 @@
 
 
 def check_deployment(deployment: Deployment) -> None:
-    """Checks the consistency of a configuration.
+    """Checks names, keys, weights and timeouts of a configuration.
 
     Raises:
-        DeploymentError: The configuration is invalid.
+        DeploymentError: The configuration is invalid; contains all errors.
     """
     errors = [
         *_route_errors(deployment),
@@ -251,18 +261,21 @@
         }
 
     def route(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest matching path prefix."""
+        """Returns the host's route with the longest matching path prefix.
+
+        The result is None if no route matches.
+        """
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def service(self, name: str) -> Service | None:
-        """Returns a service."""
+        """Returns a service, or None if there is none of this name."""
         return self._services.get(name)
 
     def customer(self, key: str) -> Customer | None:
-        """Returns the customer that a key belongs to."""
+        """Returns the customer of a key, or None if the key is unknown."""
         return self._customers.get(key)
 
     def choose_service(self, route: Route, sample: float) -> str:
--- a/knapweedarch/endpoint_choice.py
+++ b/knapweedarch/endpoint_choice.py
@@ -4,6 +4,8 @@
 plus penalties for its load, its recent failures and the parts of the prompt
 that it would have to prefill again. A router decides by its own observations
 and, while they are fresh, the loads reported by the other routers.
+
+All times are seconds on the router's clock, whose zero point is arbitrary.
 """
 
 import math
@@ -17,15 +19,16 @@
 from knapweedarch.prompt_parts import Prompt
 from knapweedarch.stored_parts import PartsIndex
 
+# Target weights versions remembered per model.
 MAX_VERSION_HISTORY = 16
 
 
 @attrs.frozen
 class ChoiceConfig:
-    """Parameters of the cost.
+    """Parameters of the cost; durations, delays and penalties in seconds.
 
     Attributes:
-        distance_s: One-way delay to each data centre in seconds.
+        distance_s: One-way delay to each data centre, by name.
         unlisted_distance_s: One-way delay to a data centre that is not listed.
         local_distance_s: Longest one-way delay within a data centre.
         prefill_tokens_s: Prompt tokens that a runner prefills per second.
@@ -37,7 +40,8 @@
             assumed while no fresh loads of the others are known.
         peer_loads_max_age_s: Age up to which reported loads of other routers
             are used.
-        failure_half_life_s: Half-life of recorded outcomes.
+        failure_half_life_s: Half-life of recorded failures, successes and
+            lateness.
         refused_backoff_s: How long an endpoint that refused a connection is
             avoided.
         busy_backoff_s: How long an endpoint that was full is avoided.
@@ -45,17 +49,18 @@
             followed, after which it is avoided.
         remote_penalty_s: Penalty for sending a request to another data centre.
         old_weights_penalty_s: Penalty for weights that are not the newest.
-        old_weights_limit_s: Time after the announcement of newer weights during
-            which a runner with older ones gets requests beside other runners.
-        sole_old_weights_limit_s: The same where no runner has newer weights. A
-            request may be queued at the runner for a moment before it starts.
+        old_weights_limit_s: Time after newer weights became the target during
+            which a runner with older ones gets requests.
+        sole_old_weights_limit_s: The same if no usable runner is within
+            `old_weights_limit_s`. A request may be queued at the runner for a
+            moment before it starts.
         prefill_slowdown: Relative increase of the prefill time per request at
             the runner.
         fetch_cost_ratio: Time to fetch a part that another runner has cached,
             as a ratio of the time to prefill it.
         retry_old_weights_penalty_s: Penalty for weights that are not the newest
-            when the request is a retry. Loading new weights may break the
-            request off a second time.
+            when another endpoint was already tried for the request. Loading
+            new weights may break the request off a second time.
     """
 
     distance_s: dict[str, float] = attrs.field(factory=dict)
@@ -82,7 +87,20 @@
 
 @attrs.define
 class _EndpointStats:
-    """Observations of one incarnation of an endpoint by this router."""
+    """Observations of one incarnation of an endpoint by this router.
+
+    Attributes:
+        incarnation: Incarnation that was observed.
+        requests: Requests that have not ended.
+        unread_tokens: Their prompt tokens that are still to be prefilled.
+        held_tokens: Their prompt tokens and maximum answer tokens.
+        failures: Decayed number of failures.
+        successes: Decayed number of successes.
+        decayed_at: Time up to which outcomes are decayed.
+        avoided_until: Time until which the endpoint gets no requests.
+        lateness_s: Decayed moving average of the time by which answers missed
+            the latency goal.
+    """
 
     incarnation: str
     requests: int = 0
@@ -95,7 +113,7 @@
     lateness_s: float = 0.0
 
     def decay(self, now: float, half_life_s: float) -> None:
-        """Decays earlier outcomes by a half-life."""
+        """Decays the outcomes for the time since the last decay."""
         factor = 0.5 ** ((now - self.decayed_at) / half_life_s)
         self.failures *= factor
         self.successes *= factor
@@ -103,13 +121,13 @@
         self.decayed_at = now
 
     def failure_rate(self) -> float:
-        """Returns the recent failure rate, smoothed by one assumed success."""
+        """Returns the ratio of recent failures, with one success assumed."""
         return self.failures / (self.failures + self.successes + 1.0)
 
 
 @attrs.frozen
 class _TargetVersion:
-    """A target weights version and when this router learned of it."""
+    """A target weights version, and the time at which it became known."""
 
     version: int
     at: float
@@ -131,7 +149,7 @@
         self._target_history: dict[str, list[_TargetVersion]] = {}
 
     def set_peer_routers(self, count: int) -> None:
-        """Sets how many routers choose among the same endpoints."""
+        """Sets how many routers, this one included, share the endpoints."""
         self._peer_factor = 1.0 + self._cfg.peer_load_weight * max(0, count - 1)
 
     def set_weights(self, weights: dict[str, int], now: float) -> None:
@@ -151,9 +169,9 @@
     def _outdated_for_s(
         self, endpoint: Endpoint, model: str, now: float
     ) -> float:
-        """Returns for how long newer weights than a runner's are the target.
+        """Returns how long newer weights than a runner's have been the target.
 
-        The result is 0 if the runner is up to date.
+        The result is in seconds, and 0 if the runner is up to date.
         """
         current = endpoint.weights_number
         newer = [
@@ -166,7 +184,10 @@
     def _without_outdated(
         self, endpoints: list[Endpoint], model: str, now: float
     ) -> list[Endpoint]:
-        """Excludes runners whose weights have been outdated for too long."""
+        """Excludes runners whose weights have been outdated for too long.
+
+        The longer limit applies only if no runner is within the shorter one.
+        """
         cfg = self._cfg
         outdated_for_s = {
             e.id: self._outdated_for_s(e, model, now) for e in endpoints
@@ -194,8 +215,8 @@
             prompt: The prompt; None for plain services.
             tried: Ids of the endpoints that the request was already sent to.
             now: Seconds on the router's clock.
-            salt: Returns the cache salt of the prompt's parts at an endpoint;
-                it depends on the endpoint's weights.
+            salt: Returns the text under which the prompt's parts are cached at
+                an endpoint; it depends on the endpoint's weights.
             memory_tokens: Capacity of each runner's memory in tokens; 0 for
                 plain services.
         """
@@ -233,13 +254,13 @@
         )
 
     def record_activity(self, address: str, now: float) -> None:
-        """Records data from a runner whose events are followed."""
+        """Records that a runner whose events are followed has sent data."""
         self._last_activity_at[address] = now
 
     def exclude_pause(self, pause_s: float) -> None:
-        """Excludes a pause of this process from the silence of runners.
+        """Leaves a pause of this process out of the silence of runners.
 
-        Data that runners sent meanwhile could not be read.
+        Data that runners sent during the pause could not be read.
         """
         for address in self._last_activity_at:
             self._last_activity_at[address] += pause_s
@@ -274,7 +295,10 @@
             stats.unread_tokens -= unread_tokens
 
     def record_ended(self, endpoint: Endpoint, prompt: Prompt | None) -> None:
-        """Removes a request, whose prompt was read, from the load."""
+        """Removes a request from the load of its endpoint.
+
+        Its unread tokens must have been removed by `record_prompt_read`.
+        """
         stats = self._stats.get(endpoint.id)
         if stats is None or stats.incarnation != endpoint.incarnation:
             return
@@ -301,13 +325,23 @@
         self._peer_loads_at = now
 
     def loads_age_s(self, now: float) -> float:
-        """Returns the age in seconds of the other routers' loads."""
+        """Returns the age in seconds of the other routers' loads.
+
+        It is infinite if none were reported yet.
+        """
         return now - self._peer_loads_at
 
     def record_success(
         self, endpoint: Endpoint, lateness_s: float, now: float
     ) -> None:
-        """Records a success and how far it missed the latency goal."""
+        """Records a complete answer, or the first event of a stream.
+
+        Args:
+            endpoint: Endpoint that answered.
+            lateness_s: Time by which the latency goal was missed; negative if
+                it was met.
+            now: Seconds on the router's clock.
+        """
         stats = self._stats_of(endpoint, now)
         stats.successes += 1.0
         stats.lateness_s += 0.3 * (max(0.0, lateness_s) - stats.lateness_s)
@@ -323,7 +357,10 @@
         stats.avoided_until = now + self._cfg.refused_backoff_s
 
     def record_replaced(self, endpoint: Endpoint, now: float) -> None:
-        """Records that another instance has taken over the address."""
+        """Records that another instance has taken over the address.
+
+        This incarnation of the endpoint gets no more requests.
+        """
         self._stats_of(endpoint, now).avoided_until = math.inf
 
     def record_overload(self, endpoint: Endpoint, now: float) -> None:
@@ -360,6 +397,17 @@
         cached_tokens: int,
         max_cached_tokens: int,
     ) -> float:
+        """Returns the cost of an endpoint in seconds.
+
+        Args:
+            endpoint: A usable endpoint.
+            prompt: The prompt; None for plain services.
+            ranks: Rank of each endpoint, from 0 to below 1.
+            memory_tokens: Capacity of the runner's memory in tokens, or 0.
+            is_retry: Whether another endpoint was already tried.
+            cached_tokens: Leading prompt tokens that the endpoint has cached.
+            max_cached_tokens: The same for the endpoint that has most.
+        """
         cfg, stats = self._cfg, self._stats[endpoint.id]
         distance = cfg.distance_s.get(
             endpoint.data_centre, cfg.unlisted_distance_s
--- a/knapweedarch/endpoint_registry.py
+++ b/knapweedarch/endpoint_registry.py
@@ -32,7 +32,7 @@
         state: Replicated state.
         clock: Clock of the process.
         propose: Commits a command; returns None if its outcome is unknown.
-        silent_s: Time without a heartbeat after which an endpoint is marked
+        silent_s: Seconds without a heartbeat after which an endpoint is marked
             silent; 0 if endpoints send no heartbeats.
     """
 
@@ -53,7 +53,11 @@
         self._loading = False
 
     def start_term(self, started_at: float) -> None:
-        """Starts a term as leader; no endpoint counts as silent yet."""
+        """Starts a term as leader; no endpoint counts as silent yet.
+
+        Args:
+            started_at: Start of the term in seconds on the process's clock.
+        """
         self._heartbeats = HeartbeatTable(started_at, self._silent_s)
 
     async def record_heartbeat(
@@ -61,6 +65,10 @@
     ) -> control.HeartbeatNoted | control.Refused:
         """Records a heartbeat and commits what it changes.
 
+        Returns:
+            A confirmation; or a refusal if it is unknown whether the change
+            was committed. The endpoint may then send the heartbeat again.
+
         Raises:
             ReplicaError: This member is not the leader; nothing was stored.
         """
@@ -98,7 +106,7 @@
     async def change_status(
         self, endpoint: Endpoint, status: EndpointStatus, reason: str
     ) -> None:
-        """Changes the status of an endpoint.
+        """Changes the status of an endpoint; logs it if that fails.
 
         Args:
             endpoint: The endpoint; a later incarnation is left alone.
@@ -114,7 +122,7 @@
         _log_status(endpoint, status, reason)
 
     def update_loading(self) -> None:
-        """Records when a runner was last out of use to load weights."""
+        """Updates when a runner was last out of use to load weights."""
         loading = any(
             e.status is EndpointStatus.LOADING for e in self._endpoints()
         )
@@ -125,7 +133,8 @@
     def last_loading_at(self) -> float:
         """Returns the time at which a runner was last known to be loading.
 
-        A leader gives load orders only for a runner that is out of use.
+        A leader gives load orders only to a runner with this status, so no
+        order is later. If none was seen, it is the start of this process.
         """
         return self._clock.now() if self._loading else self._loading_seen_at
 
--- a/knapweedarch/endpoint_table.py
+++ b/knapweedarch/endpoint_table.py
@@ -23,13 +23,25 @@
 from knapweedarch.state import EndpointEntry
 from knapweedarch.timers import Clock
 
+# Delay before a lost feed is opened again; it doubles up to the maximum while
+# no item arrives.
 FEED_RETRY_S = 0.2
 FEED_RETRY_MAX_S = 5.0
+# Distance to a data centre that is not listed.
 DEFAULT_DISTANCE_MS = 1000.0
 
 
 class EndpointTable:
-    """Keeps the endpoints received with grants and follows runner feeds."""
+    """Keeps the endpoints received with grants and follows runner feeds.
+
+    Args:
+        scheduler: Receives the runners and the items of their feeds.
+        adapter: Opens the feeds.
+        clock: Clock of the router.
+        metrics: Counts lost feeds.
+        distances_ms: Distance to each data centre in milliseconds.
+        seed: Seed of the random delays before a feed is opened again.
+    """
 
     def __init__(
         self,
@@ -82,9 +94,11 @@
     def needs_announcement(self, endpoint: Endpoint) -> bool:
         """Returns whether an announcement must be forwarded to the members.
 
-        An announcement that this router already applies is not forwarded. One
-        of a leaving endpoint is, because the endpoint is answered only after
-        all routers know of it, not only this one.
+        It is not if this router already applies the announcement, or if the
+        members have received it and this router knows the endpoint. One of a
+        leaving endpoint is forwarded until the members have received it: the
+        endpoint is answered only after all routers know that it leaves, so this
+        router's state is not enough.
         """
         if self._announced.get(endpoint.id) == endpoint:
             return endpoint.id not in self._endpoints
@@ -96,7 +110,7 @@
         self._announced[endpoint.id] = endpoint
 
     def update(self, entries: Sequence[EndpointEntry]) -> None:
-        """Applies changed endpoints."""
+        """Applies changed endpoints and opens the feeds of new runners."""
         for entry in entries:
             endpoint = entry.endpoint
             before = self._endpoints.get(endpoint.id)
@@ -132,7 +146,7 @@
                     self._metrics.count("feed.lost")
                     log("feed_lost", endpoint=endpoint.id, reason=exc.reason)
                     self._scheduler.feed_lost(endpoint.id, self._clock.now())
-                # The growing pause limits the cost of an endpoint that is gone.
+                # The growing delay limits the cost of a runner that is gone.
                 await anyio.sleep(pause * self._random.uniform(0.5, 1.0))
                 pause = min(2 * pause, FEED_RETRY_MAX_S)
 
--- a/knapweedarch/heartbeats.py
+++ b/knapweedarch/heartbeats.py
@@ -24,8 +24,9 @@
     """Latest heartbeat of each endpoint.
 
     Args:
-        started_at: Time at which the table was created, in seconds.
-        silent_s: Time without a heartbeat after which an endpoint is silent;
+        started_at: Start of the leader's term in seconds on its clock; an
+            endpoint without a heartbeat is silent `silent_s` after it.
+        silent_s: Seconds without a heartbeat after which an endpoint is silent;
             0 if endpoints send no heartbeats.
     """
 
@@ -35,11 +36,11 @@
         self._last_heartbeats: dict[str, _LastHeartbeat] = {}
 
     def record(self, heartbeat: Heartbeat, now: float) -> Endpoint | None:
-        """Records a heartbeat.
+        """Records a heartbeat that arrived at `now`.
 
         Returns:
-            The endpoint, or None if a later heartbeat has already arrived or
-            the heartbeat belongs to an earlier incarnation.
+            The endpoint, or None if the same or a later heartbeat has already
+            arrived or the heartbeat belongs to an earlier incarnation.
         """
         endpoint = heartbeat.endpoint
         known = self._last_heartbeats.get(endpoint.id)
@@ -59,7 +60,7 @@
     def silent_endpoints(
         self, endpoints: Iterable[Endpoint], now: float
     ) -> list[Endpoint]:
-        """Returns the endpoints without a heartbeat for `silent_s` seconds."""
+        """Returns the endpoints without a heartbeat for over `silent_s`."""
         if not self._silent_s:
             return []
         return [
@@ -69,7 +70,7 @@
         ]
 
     def retract(self, heartbeat: Heartbeat) -> None:
-        """Lets a heartbeat that was not stored be sent again."""
+        """Lets a heartbeat that was not stored be recorded again."""
         known = self._last_heartbeats.get(heartbeat.endpoint.id)
         if known is not None and known.number == heartbeat.number:
             known.number -= 1
@@ -82,8 +83,9 @@
 
 
 def incarnation_start(incarnation: str) -> float:
-    """Returns the start time encoded in an incarnation.
+    """Returns the start time that an incarnation consists of.
 
-    An incarnation that is not a decimal number is earlier than all others.
+    Its unit is the sender's, so it is only compared with other start times. An
+    incarnation that is not a decimal number is earlier than all others.
     """
     return float(incarnation) if incarnation.isdecimal() else -math.inf
--- a/knapweedarch/load_totals.py
+++ b/knapweedarch/load_totals.py
@@ -24,7 +24,10 @@
 
 
 class LoadAggregator:
-    """Latest load reported by each router, and the totals per endpoint."""
+    """Latest load reported by each router, and the totals per endpoint.
+
+    Loads are numbers of requests and tokens, as in `EndpointLoad`.
+    """
 
     def __init__(self) -> None:
         self._shares: dict[Hashable, tuple[EndpointLoad, ...]] = {}
@@ -38,7 +41,7 @@
             self._sums.setdefault(load.endpoint_id, _LoadSum()).add(load, 1)
 
     def remove_share(self, router: Hashable) -> None:
-        """Removes the load of a router from the totals."""
+        """Removes a router's load, if it reported one, from the totals."""
         for load in self._shares.pop(router, ()):
             total = self._sums[load.endpoint_id]
             total.add(load, -1)
@@ -55,7 +58,11 @@
         return list(self._shares)
 
     def loads_excluding(self, router: Hashable) -> LoadTotals:
-        """Returns the total load of all routers but the given one."""
+        """Returns the total load of all routers but the given one.
+
+        Raises:
+            KeyError: The given router has reported no load.
+        """
         own = {load.endpoint_id: load for load in self._shares[router]}
         loads = []
         for endpoint_id, total in self._sums.items():
--- a/knapweedarch/repeat_budget.py
+++ b/knapweedarch/repeat_budget.py
@@ -1,8 +1,9 @@
-"""Retry budget per service.
+"""Limits the repeats of requests, per service.
 
-All routers share one limit over any window. Each router uses its share of the
-fixed allowance and the ratio of its own requests, so that the total stays
-within the limit without messages between routers.
+A repeat is any send of a request after its first one, as a retry or to resume a
+stream. All routers share one limit over any window. Each router uses its share
+of the fixed allowance and the ratio of its own requests, so that the total
+stays within the limit without messages between routers.
 """
 
 import math
@@ -13,11 +14,11 @@
 
 @attrs.frozen
 class RepeatLimits:
-    """Retry limit of all routers together.
+    """Limit of the repeats of all routers together.
 
     Attributes:
-        ratio: Retries allowed per request.
-        allowance: Retries allowed in addition to the ratio.
+        ratio: Repeats allowed per request.
+        allowance: Repeats allowed in addition to the ratio.
         window_s: Sliding window over which both are counted, in seconds.
     """
 
@@ -26,19 +27,20 @@
     window_s: float = 10.0
 
 
-# Fraction of the limit that is used; windows of two routers are never aligned.
+# Fraction of its share that a router uses. The rest covers that the windows of
+# two routers are never aligned.
 USED_FRACTION = 0.9
 
 
 class RepeatBudget:
-    """One router's retry budget for one service.
+    """One router's share of the limit for one service.
 
-    A router that has just started does not know its retries before the
+    A router that has just started does not know its repeats before the
     restart, so its share of the allowance grows over the first window.
 
     Args:
         limits: The limit of all routers.
-        started_at: When the router started, in seconds.
+        started_at: When the router started, in seconds on its clock.
     """
 
     def __init__(self, limits: RepeatLimits, started_at: float):
@@ -53,11 +55,14 @@
         self._expire(now)
 
     def try_acquire(self, router_count: int, now: float) -> bool:
-        """Counts a retry if the budget allows it.
+        """Counts a repeat if the budget allows it.
 
         Args:
             router_count: Number of routers that share the limit.
             now: Seconds on the router's clock.
+
+        Returns:
+            Whether the budget allows the repeat.
         """
         self._expire(now)
         limits = self._limits
--- a/knapweedarch/settings_watch.py
+++ b/knapweedarch/settings_watch.py
@@ -19,13 +19,16 @@
 ) -> None:
     """Applies changed settings until cancelled.
 
-    The file is read again at SIGHUP and every `POLL_INTERVAL_S`, because it
-    may change without a signal. Invalid settings leave the previous ones in
-    force.
+    The file is read again at SIGHUP and every `POLL_INTERVAL_S` seconds,
+    because it may change without a signal. Invalid settings leave the previous
+    ones in force.
 
     Args:
-        read: Reads the settings; raises `SettingsError`.
+        read: Reads the settings; raises `SettingsError` if they are invalid.
         apply: Called with settings that differ from the previous ones.
+
+    Raises:
+        SettingsError: The settings are invalid at the start.
     """
     current = read()
     with anyio.open_signal_receiver(signal.SIGHUP) as signals:
--- a/knapweedarch/weights_rollout.py
+++ b/knapweedarch/weights_rollout.py
@@ -1,4 +1,4 @@
-"""Rolls out the weights named for a model to all of its runners.
+"""Rolls out the target weights of each model to all of its runners.
 
 The leading member sends the orders, with its term as the fencing number. Not
 every runner checks the number, so a new leader waits until the last orders of
@@ -28,7 +28,8 @@
 # More concurrent loads would each take longer, because the throughput of the
 # weight store is limited.
 MAX_LOADS = 3
-# Runners that drain while others load, so that the next load can start at once.
+# Runners that drain while others load, so that the next load can start at once;
+# more may drain under a low load.
 EXTRA_DRAINS = 1
 LOW_LOAD_EXTRA_DRAINS = 3
 # Mean number of requests per runner below which the runners count as lightly
@@ -40,25 +41,28 @@
 DRAIN_TIMEOUT_S = 0.6
 FIRST_DRAIN_TIMEOUT_S = 0.9
 LOW_LOAD_DRAIN_TIMEOUT_S = 1.5
-# The order is repeated if a runner has not reported the weights by then.
+# Maximum time to wait for the heartbeat that reports the loaded weights. The
+# runner is then used again, and gets another order if it is still outdated.
 LOAD_TIMEOUT_S = 2.0
 # Maximum time to wait for requests queued in a runner. An order makes the
 # runner refuse them, and each refusal then uses up part of the repeat budget.
 QUEUE_TIMEOUT_S = 1.0
 # Reports of a runner are up to a few hundred milliseconds old.
 QUEUE_POLL_INTERVAL_S = 0.15
-# A new leader may not send orders immediately, but lets runners drain this long
-# before it may, so that the first orders follow without a delay.
+# A new leader may not send orders immediately. It begins to drain runners this
+# long before it may, so that the first orders follow without a delay.
 EARLY_DRAIN_S = 1.2
+# Interval at which reported loads and heartbeats are checked.
 POLL_INTERVAL_S = 0.03
 # Delay from a status change until loads reported by routers reflect it.
 LOAD_REPORT_LAG_S = 0.25
+# Minimum time from the end of an update of a runner to its next one.
 RETRY_DELAY_S = 0.5
 
 
 @attrs.frozen
 class NamedWeights:
-    """Weights version that the runners of a model have to load."""
+    """A weights version of a model."""
 
     model: str
     version: int
@@ -69,7 +73,7 @@
     """State reported by a runner.
 
     Attributes:
-        weights: Weights version by model.
+        weights: Version of the loaded weights, by model.
         busy: Whether the runner is executing an order.
         queued: Number of requests that it has not started.
         orders_accepted: Number of orders accepted since its start.
@@ -89,7 +93,7 @@
         model: Model name.
         version: Version to load.
         owner: Name of the member that sends the order.
-        fencing_number: Term of that member.
+        fencing_number: Term in which that member leads.
         expected_orders: Number of orders that the runner must have accepted
             before, so that it refuses an order that arrives late.
     """
@@ -121,7 +125,16 @@
 
 
 class WeightsRollout:
-    """Sends load orders while this member leads."""
+    """Sends load orders while this member leads.
+
+    Args:
+        member: This member.
+        name: Name of the member, which its orders contain.
+        orders: Calls to runners.
+        clock: Clock of the process.
+        takeover_delay_s: Seconds from the latest time of an order by another
+            leader until that order has expired.
+    """
 
     def __init__(
         self,
@@ -151,6 +164,7 @@
         timers.every(CHECK_INTERVAL_S, self._check)
 
     def _check(self, now: float) -> None:
+        """Starts the updates that are due, if this member leads."""
         if self._member.leads_until() <= now:
             self._term = 0
             return
@@ -196,11 +210,18 @@
         )
 
     def _max_loads(self) -> int:
-        """Returns the maximum of concurrent loads; the others keep serving."""
+        """Returns the maximum number of runners that load concurrently.
+
+        It is at most a third of the runners, but at least one; the others keep
+        serving.
+        """
         return max(1, min(MAX_LOADS, len(self._runners()) // 3))
 
     def _max_out_of_use(self) -> int:
-        """Returns the maximum of runners out of use; a third must serve."""
+        """Returns the maximum number of runners out of use at a time.
+
+        A third of the runners must serve; a single runner may be updated.
+        """
         return max(1, len(self._runners()) * 2 // 3)
 
     def _runners(self) -> list[Endpoint]:
@@ -212,6 +233,7 @@
         ]
 
     def _due(self, now: float) -> list[Endpoint]:
+        """Returns the runners to update, in order."""
         due = [
             e
             for e in self._runners()
@@ -219,7 +241,8 @@
             and self._paused_until.get(e.id, 0.0) <= now
             and (self._is_outdated(e) or e.status is EndpointStatus.LOADING)
         ]
-        # Runners already out of use come first, then those with oldest weights.
+        # Runners already out of use come first; within each group, those with
+        # the oldest weights.
         return sorted(
             due,
             key=lambda e: (
@@ -229,7 +252,7 @@
         )
 
     def _is_outdated(self, endpoint: Endpoint) -> bool:
-        """Returns whether a runner has older weights than those named."""
+        """Returns whether a runner has older weights than the target."""
         held = endpoint.weights_number
         return any(
             model in endpoint.serves and held < version
@@ -239,7 +262,7 @@
     def _wanted(
         self, endpoint: Endpoint, state: RunnerState
     ) -> NamedWeights | None:
-        """Returns the weights that a runner has to load, if any."""
+        """Returns the first target weights that a runner lacks, if any."""
         for model, version in self._member.state.weights.items():
             served = model in endpoint.serves
             if served and state.weights.get(model, 0) < version:
@@ -247,7 +270,10 @@
         return None
 
     async def _update_runner(self, endpoint: Endpoint) -> None:
-        """Takes a runner out of use, orders the load and waits for it."""
+        """Updates a runner's weights; one that does not answer is used again.
+
+        One that refuses connections is marked silent instead.
+        """
         try:
             await self._load(endpoint)
         except ExchangeError as exc:
@@ -271,6 +297,14 @@
             ended.set()
 
     async def _load(self, endpoint: Endpoint) -> None:
+        """Takes a runner out of use and loads target weights that it lacks.
+
+        The runner is used again after the load or its timeout, and also if no
+        order may be sent to it.
+
+        Raises:
+            ExchangeError: The runner did not answer.
+        """
         await self._change(endpoint, EndpointStatus.LOADING, "load due")
         term = self._term
         state = await self._drain(endpoint)
@@ -291,7 +325,8 @@
     ) -> None:
         """Waits, up to a timeout, until a heartbeat reports the weights.
 
-        A runner sends a heartbeat as soon as it has loaded them.
+        A runner sends one as soon as it has loaded them. The wait also ends if
+        the runner is gone.
         """
         until = self._clock.now() + LOAD_TIMEOUT_S
         while self._clock.now() < until:
@@ -302,7 +337,10 @@
         log("load_not_confirmed", endpoint=endpoint.id, version=wanted.version)
 
     def _stored_endpoint(self, endpoint: Endpoint) -> Endpoint | None:
-        """Returns the stored state of a runner; None if it is gone."""
+        """Returns the stored state of a runner.
+
+        It is None if the runner is gone or another incarnation is stored.
+        """
         entry = self._member.state.endpoints.get(endpoint.id)
         if entry is None or (
             entry.endpoint.incarnation != endpoint.incarnation
@@ -311,13 +349,17 @@
         return entry.endpoint
 
     async def _reactivate(self, endpoint: Endpoint) -> None:
-        """Sets the status of a loading runner to active."""
+        """Sets the status of a runner to active if it is still `loading`."""
         stored = self._stored_endpoint(endpoint)
         if stored is not None and stored.status is EndpointStatus.LOADING:
             await self._change(endpoint, EndpointStatus.ACTIVE, "load ended")
 
     def _drain_timeout_s(self, endpoint: Endpoint) -> float:
-        """Returns the maximum time to wait for a runner's requests."""
+        """Returns the maximum time to wait for a runner's requests.
+
+        It is longest under a low load, and otherwise longer until a runner of
+        the same service has the target weights.
+        """
         loaded = any(
             e.status is EndpointStatus.ACTIVE and not self._is_outdated(e)
             for e in self._runners()
@@ -334,9 +376,14 @@
         return requests < LOW_LOAD_REQUESTS_PER_RUNNER * len(runners)
 
     async def _drain(self, endpoint: Endpoint) -> RunnerState:
-        """Waits, up to a timeout, until a runner is idle and may load."""
+        """Waits until a runner may load, and returns its state.
+
+        The waits for its running and its queued requests have timeouts. The
+        wait while the maximum number of runners load has none.
+        """
         until = self._clock.now() + self._drain_timeout_s(endpoint)
-        # Earlier load reports may predate the status change at the routers.
+        # Routers first learn of the new status, and only loads reported after
+        # that show whether the runner is idle.
         await anyio.sleep(LOAD_REPORT_LAG_S)
         while self._clock.now() < until:
             if not self._member.leader.requests_at(endpoint.id):
@@ -349,7 +396,7 @@
         return await self._orders.report(endpoint)
 
     async def _await_queue(self, endpoint: Endpoint) -> None:
-        """Waits, up to a timeout, until a runner has no queued requests."""
+        """Waits, up to a timeout, until a runner has started all requests."""
         until = self._clock.now() + QUEUE_TIMEOUT_S
         while (await self._orders.report(endpoint)).queued:
             if self._clock.now() >= until:
@@ -357,6 +404,7 @@
             await anyio.sleep(QUEUE_POLL_INTERVAL_S)
 
     def _may_order(self, term: int) -> bool:
+        """Returns whether this member leads in `term` and may send orders."""
         now = self._clock.now()
         leads = self._member.leads_until() > now
         return leads and term == self._member.term and now >= self._may_order_at
