--- a/features/steps/heavy_load_steps.py
+++ b/features/steps/heavy_load_steps.py
@@ -46,7 +46,7 @@
     )
 
 
-SHORT = Prompt(model="m", tokens=800, max_tokens=70)
+SHORT_PROMPT = Prompt(model="m", tokens=800, max_tokens=70)
 
 
 def create_chooser() -> EndpointChooser:
@@ -145,14 +145,14 @@
 def add_short_streams(context, count):
     for _ in range(count):
         context.choosers[0].record_sent(
-            context.runners[0], SHORT, 0, context.now
+            context.runners[0], SHORT_PROMPT, 0, context.now
         )
 
 
 @given("only runner 2 has the latest weights")
 def set_latest_weights(context):
     context.runners[1] = create_runner(2, weights="2")
-    context.choosers[0].set_weights({"m": 2}, context.now)
+    context.choosers[0].set_target_versions({"m": 2}, context.now)
 
 
 @then("after {seconds:f} s only runner 2 gets requests at any load")
@@ -160,16 +160,16 @@
     context.now += seconds
     for _ in range(400):
         context.choosers[0].record_sent(
-            context.runners[1], SHORT, 800, context.now
+            context.runners[1], SHORT_PROMPT, 800, context.now
         )
     check_must_choose(context, 2)
 
 
 @then("a repeated request goes to runner 2 with {count:d} streams there")
-def check_retry_with_streams(context, count):
+def check_repeat_with_streams(context, count):
     for _ in range(count):
         context.choosers[0].record_sent(
-            context.runners[1], SHORT, 0, context.now
+            context.runners[1], SHORT_PROMPT, 0, context.now
         )
     found = choose_endpoint(context, context.choosers[0], tried=("r9",))
     assert found.id == "r2"
@@ -232,10 +232,10 @@
 
 
 @when("a cache event reports that runner 2 evicted the first part")
-def report_dropped_part(context):
-    dropped = PartChange(False, shared_keys()[0])
+def report_evicted_part(context):
+    evicted = PartChange(False, shared_keys()[0])
     parts_index(context).parts_at(context.runners[1].address).apply_changes(
-        create_cache_changes(dropped)
+        create_cache_changes(evicted)
     )
 
 
@@ -254,8 +254,8 @@
     index, prompt = parts_index(context), create_long_prompt()
     own = context.runners[number - 1].address
     others = [r.address for r in context.runners if r.address != own]
-    held = index.parts_at(own).prefix_tokens(prompt, SALT, context.now)
-    return index.best_source(others, prompt, SALT, held, context.now)
+    cached_tokens = index.parts_at(own).prefix_tokens(prompt, SALT, context.now)
+    return index.best_source(others, prompt, SALT, cached_tokens, context.now)
 
 
 @then("runner {number:d} fetches them from runner {other:d}")
@@ -301,7 +301,7 @@
     "a bound of {ratio:f} per request plus {allowance:d} in {window:d} s for"
     " {routers:d} routers"
 )
-def set_retry_bound(context, ratio, allowance, window, routers):
+def set_repeat_bound(context, ratio, allowance, window, routers):
     context.limits = RepeatLimits(ratio, float(allowance), float(window))
     context.router_count = routers
 
@@ -318,7 +318,7 @@
 
 @when("each router gets {rate:d} requests a second and every one fails {how}")
 def fail_all_requests(context, rate, how):
-    context.request_times, context.retry_times = [], []
+    context.request_times, context.repeat_times = [], []
     budgets = [
         RepeatBudget(context.limits, 0.0) for _ in range(context.router_count)
     ]
@@ -330,16 +330,16 @@
             budgets[number].record_request(at)
             context.request_times.append(at)
             if budgets[number].try_acquire(context.router_count, at):
-                context.retry_times.append(at)
+                context.repeat_times.append(at)
 
 
 @then("no window of {window:d} s has more repeats than the bound allows")
-def check_retry_bound(context, window):
+def check_repeat_bound(context, window):
     limits = context.limits
-    assert context.retry_times
+    assert context.repeat_times
     for start in range(60):
         end = start + window
-        repeats = sum(start <= at < end for at in context.retry_times)
+        repeats = sum(start <= at < end for at in context.repeat_times)
         requests = sum(start <= at < end for at in context.request_times)
         if end <= 60:
             bound = limits.ratio * requests + limits.allowance
@@ -396,7 +396,7 @@
     # Without the cached parts, this load would decide for the other runner.
     for _ in range(4):
         context.choosers[0].record_sent(
-            context.runners[1], SHORT, 0, context.now
+            context.runners[1], SHORT_PROMPT, 0, context.now
         )
     for _ in range(2):
         found = choose_endpoint(context, context.choosers[0])
@@ -406,9 +406,9 @@
 
 @given("timers that fire every {period:f} s")
 def create_periodic_timers(context, period):
-    context.clock, context.stops = ManualClock(NOW), []
+    context.clock, context.pauses = ManualClock(NOW), []
     context.timers = Timers(context.clock)
-    PauseDetector(context.timers, context.stops.append)
+    PauseDetector(context.timers, context.pauses.append)
     context.period = period
 
 
@@ -425,13 +425,13 @@
 
 @then("one pause of {pause:f} s is detected")
 def check_one_pause(context, pause):
-    (found,) = context.stops
+    (found,) = context.pauses
     assert abs(found - pause) <= 2 * context.period, found
 
 
 @when("new weights are announced that no runner has")
 def set_unavailable_weights(context):
-    context.choosers[0].set_weights({"m": 2}, context.now)
+    context.choosers[0].set_target_versions({"m": 2}, context.now)
 
 
 @then("after {seconds:f} s a long prompt goes to some runner")
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -110,7 +110,7 @@
         orders: Endpoint id and order, of all orders sent.
         refused_orders: Orders that a runner refused.
         most_loading: Largest number of runners that loaded concurrently.
-        interrupted_queues: Number of orders to runners with queued requests.
+        orders_while_queued: Number of orders to runners with queued requests.
     """
 
     def __init__(self, member: FakeMember, group):
@@ -120,7 +120,7 @@
         self.orders: list[tuple[str, LoadWeightsOrder]] = []
         self.refused_orders: list[LoadWeightsOrder] = []
         self.most_loading = 0
-        self.interrupted_queues = 0
+        self.orders_while_queued = 0
 
     async def report(self, endpoint: Endpoint) -> RunnerState:
         """Returns a runner's state."""
@@ -141,7 +141,7 @@
         if runner.unanswered_orders:
             runner.unanswered_orders -= 1
             raise ExchangeError(RetryReason.ANSWER_TIMEOUT, "no answer", True)
-        self.interrupted_queues += Clock().now() < runner.queue_ends_at
+        self.orders_while_queued += Clock().now() < runner.queue_ends_at
         if order.expected_orders != runner.accepted or runner.loading:
             self.refused_orders.append(order)
             return False
@@ -169,7 +169,7 @@
 @given("a leading member and {count:d} runners with weights {version:d}")
 def leading_member(context, count, version):
     context.versions = {i: version for i in range(1, count + 1)}
-    context.takeover_delay_s, context.unanswered_runners, context.queues = (
+    context.takeover_delay_s, context.unanswered_runners, context.queue_s = (
         0.0,
         (),
         {},
@@ -230,7 +230,7 @@
             endpoint = runner_endpoint(number, version)
             member.apply(Announce(endpoint))
             unanswered = int(number in context.unanswered_runners)
-            queue_s = context.queues.get(number, 0.0)
+            queue_s = context.queue_s.get(number, 0.0)
             orders.runners[endpoint.id] = FakeRunner(
                 *(endpoint, version),
                 unanswered_orders=unanswered,
@@ -307,14 +307,14 @@
 
 @given("runner {number:d} has queued requests for {seconds:f} s")
 def set_queue_duration(context, number, seconds):
-    context.queues[number] = seconds
+    context.queue_s[number] = seconds
 
 
 @then("{count:d} runners were ordered while they had queued requests")
 @then("{count:d} runner was ordered while it had queued requests")
 def orders_during_queue(context, count):
-    assert context.orders.interrupted_queues == count, (
-        context.orders.interrupted_queues
+    assert context.orders.orders_while_queued == count, (
+        context.orders.orders_while_queued
     )
 
 
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -229,7 +229,7 @@
 @given("a group of {count:d} voters that wants {wanted:d}")
 def group_of(context, count, wanted):
     context.members = tuple(member(f"v{i}") for i in range(1, count + 1))
-    context.wanted, context.notes, context.silence_s = wanted, {}, {}
+    context.wanted, context.announced, context.silence_s = wanted, {}, {}
 
 
 @when("{count:d} members request to join and all answer")
@@ -237,7 +237,7 @@
 def ask_to_join(context, count):
     for i in range(count):
         name = f"j{i}"
-        context.notes[name] = PeerIdentity(
+        context.announced[name] = PeerIdentity(
             name, f"identity-{name}", "127.0.0.1", 1
         )
     apply_changes(context)
@@ -256,7 +256,7 @@
     """
     for _ in range(50):
         change = next_change(
-            *(context.members, context.notes, OWN_IDENTITY),
+            *(context.members, context.announced, OWN_IDENTITY),
             lambda identity: silence_s(context, identity) < 1.0,
             lambda identity: silence_s(context, identity),
             context.wanted,
--- a/knapweedarch/endpoint_choice.py
+++ b/knapweedarch/endpoint_choice.py
@@ -58,9 +58,9 @@
             the runner.
         fetch_cost_ratio: Time to fetch a part that another runner has cached,
             as a ratio of the time to prefill it.
-        retry_old_weights_penalty_s: Penalty for weights that are not the newest
-            when another endpoint was already tried for the request. Loading
-            new weights may break the request off a second time.
+        repeat_old_weights_penalty_s: Penalty for weights that are not the
+            newest when another endpoint was already tried for the request.
+            Loading new weights may break the request off a second time.
     """
 
     distance_s: dict[str, float] = attrs.field(factory=dict)
@@ -78,7 +78,7 @@
     silence_limit_s: float = 1.4
     remote_penalty_s: float = 0.15
     old_weights_penalty_s: float = 0.3
-    retry_old_weights_penalty_s: float = 2.0
+    repeat_old_weights_penalty_s: float = 2.0
     old_weights_limit_s: float = 6.5
     sole_old_weights_limit_s: float = 7.4
     prefill_slowdown: float = 0.1
@@ -152,14 +152,14 @@
         """Sets how many routers, this one included, share the endpoints."""
         self._peer_factor = 1.0 + self._cfg.peer_load_weight * max(0, count - 1)
 
-    def set_weights(self, weights: dict[str, int], now: float) -> None:
+    def set_target_versions(self, versions: dict[str, int], now: float) -> None:
         """Sets the target weights version of each model."""
-        for model, version in weights.items():
+        for model, version in versions.items():
             if version != self._target_versions.get(model):
                 history = self._target_history.setdefault(model, [])
                 history.append(_TargetVersion(version, now))
                 del history[:-MAX_VERSION_HISTORY]
-        self._target_versions = weights
+        self._target_versions = versions
 
     def has_newest_weights(self, endpoint: Endpoint, prompt: Prompt) -> bool:
         """Returns whether a runner has the target weights version or newer."""
@@ -311,10 +311,10 @@
         return LoadShare(
             tuple(
                 EndpointLoad(
-                    *(name, stats.requests, stats.unread_tokens),
+                    *(endpoint_id, stats.requests, stats.unread_tokens),
                     stats.held_tokens,
                 )
-                for name, stats in self._stats.items()
+                for endpoint_id, stats in self._stats.items()
                 if stats.requests
             )
         )
@@ -324,7 +324,7 @@
         self._peer_loads = {load.endpoint_id: load for load in totals.loads}
         self._peer_loads_at = now
 
-    def loads_age_s(self, now: float) -> float:
+    def peer_loads_age_s(self, now: float) -> float:
         """Returns the age in seconds of the other routers' loads.
 
         It is infinite if none were reported yet.
@@ -393,7 +393,7 @@
         prompt: Prompt | None,
         ranks: dict[str, float],
         memory_tokens: int,
-        is_retry: bool,
+        is_repeat: bool,
         cached_tokens: int,
         max_cached_tokens: int,
     ) -> float:
@@ -404,32 +404,34 @@
             prompt: The prompt; None for plain services.
             ranks: Rank of each endpoint, from 0 to below 1.
             memory_tokens: Capacity of the runner's memory in tokens, or 0.
-            is_retry: Whether another endpoint was already tried.
+            is_repeat: Whether another endpoint was already tried.
             cached_tokens: Leading prompt tokens that the endpoint has cached.
             max_cached_tokens: The same for the endpoint that has most.
         """
         cfg, stats = self._cfg, self._stats[endpoint.id]
-        distance = cfg.distance_s.get(
+        distance_s = cfg.distance_s.get(
             endpoint.data_centre, cfg.unlisted_distance_s
         )
         remote_penalty_s = (
-            cfg.remote_penalty_s if distance > cfg.local_distance_s else 0.0
+            cfg.remote_penalty_s if distance_s > cfg.local_distance_s else 0.0
         )
         load = self._total_load(endpoint, stats)
         utilisation = load.requests / max(1, endpoint.slots)
         if memory_tokens:
             utilisation = max(utilisation, load.held_tokens / memory_tokens)
-        cost = (
-            2 * distance + remote_penalty_s + cfg.load_penalty_s * utilisation
+        cost_s = (
+            2 * distance_s + remote_penalty_s + cfg.load_penalty_s * utilisation
+        )
+        cost_s += cfg.rank_penalty_s * ranks[endpoint.id]
+        cost_s += load.unread_tokens / cfg.prefill_tokens_s
+        cost_s += (
+            cfg.failure_penalty_s * stats.failure_rate() + stats.lateness_s
         )
-        cost += cfg.rank_penalty_s * ranks[endpoint.id]
-        cost += load.unread_tokens / cfg.prefill_tokens_s
-        cost += cfg.failure_penalty_s * stats.failure_rate() + stats.lateness_s
         if prompt is not None:
             if not self.has_newest_weights(endpoint, prompt):
-                cost += (
-                    cfg.retry_old_weights_penalty_s
-                    if is_retry
+                cost_s += (
+                    cfg.repeat_old_weights_penalty_s
+                    if is_repeat
                     else cfg.old_weights_penalty_s
                 )
             fetchable_tokens = max(0, max_cached_tokens - cached_tokens)
@@ -439,8 +441,8 @@
                 - (1 - cfg.fetch_cost_ratio) * fetchable_tokens
             )
             prefill_s = uncached_tokens / cfg.prefill_tokens_s
-            cost += prefill_s * (1 + cfg.prefill_slowdown * load.requests)
-        return cost
+            cost_s += prefill_s * (1 + cfg.prefill_slowdown * load.requests)
+        return cost_s
 
     def _cached_prefix_tokens(
         self, endpoint: Endpoint, prompt: Prompt, salt: str, now: float
@@ -491,4 +493,6 @@
         key=lambda i: xxhash.xxh3_64_intdigest(key + i.encode()),
         reverse=True,
     )
-    return {name: rank / len(order) for rank, name in enumerate(order)}
+    return {
+        endpoint_id: rank / len(order) for rank, endpoint_id in enumerate(order)
+    }
--- a/knapweedarch/endpoint_table.py
+++ b/knapweedarch/endpoint_table.py
@@ -77,7 +77,7 @@
             e.status is EndpointStatus.ACTIVE for e in self._endpoints.values()
         )
 
-    def services(self, name: str) -> Sequence[Endpoint]:
+    def service_endpoints(self, name: str) -> Sequence[Endpoint]:
         """Returns the active endpoints of a plain service, nearest first."""
         found = [
             e
@@ -136,19 +136,19 @@
         self, endpoint: Endpoint, scope: anyio.CancelScope
     ) -> None:
         with scope:
-            pause = FEED_RETRY_S
+            pause_s = FEED_RETRY_S
             while True:
                 try:
                     async for item in self._adapter.follow_feed(endpoint):
-                        pause = FEED_RETRY_S
+                        pause_s = FEED_RETRY_S
                         self._apply_feed_item(item)
                 except EndpointError as exc:
                     self._metrics.count("feed.lost")
                     log("feed_lost", endpoint=endpoint.id, reason=exc.reason)
                     self._scheduler.feed_lost(endpoint.id, self._clock.now())
                 # The growing delay limits the cost of a runner that is gone.
-                await anyio.sleep(pause * self._random.uniform(0.5, 1.0))
-                pause = min(2 * pause, FEED_RETRY_MAX_S)
+                await anyio.sleep(pause_s * self._random.uniform(0.5, 1.0))
+                pause_s = min(2 * pause_s, FEED_RETRY_MAX_S)
 
     def _apply_feed_item(self, item: FeedItem) -> None:
         now = self._clock.now()
--- a/knapweedarch/proxy.py
+++ b/knapweedarch/proxy.py
@@ -235,11 +235,11 @@
         gauge("deployment.version", self._gateway.deployment.version)
         gauge("endpoints.active", self._attempts.active_endpoint_count)
         gauge("requests.running", self._server.active)
-        gauge("loads.age_s", self._attempts.chooser.loads_age_s(now))
+        gauge("loads.age_s", self._attempts.chooser.peer_loads_age_s(now))
         gauge("feeds.followed", self._feeds.answering_count)
 
     def _set_weights(self, weights: dict[str, int]) -> None:
-        self._attempts.chooser.set_weights(weights, self._clock.now())
+        self._attempts.chooser.set_target_versions(weights, self._clock.now())
         log("weights_wanted", weights=weights)
 
     def _on_lease_granted(self) -> None:
--- a/knapweedarch/router.py
+++ b/knapweedarch/router.py
@@ -138,7 +138,7 @@
 
     def service_endpoints(self, name: str) -> Sequence[Endpoint]:
         """Returns the active endpoints of a plain service, nearest first."""
-        return self._endpoints.services(name)
+        return self._endpoints.service_endpoints(name)
 
     def count(self, name: str, number: int = 1) -> None:
         """Increments a counter of the metrics catalogue."""
--- a/knapweedarch/weights_rollout.py
+++ b/knapweedarch/weights_rollout.py
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen
-class NamedWeights:
+class ModelWeights:
     """A weights version of a model."""
 
     model: str
@@ -150,8 +150,8 @@
         self._clock = clock
         self._takeover_delay_s = takeover_delay_s
         self._drained: set[str] = set()
-        self._load_ended = anyio.Event()
-        self._loading: set[str] = set()
+        self._update_ended = anyio.Event()
+        self._updating: set[str] = set()
         self._paused_until: dict[str, float] = {}
         self._term = 0
         self._reactivated_loading = False
@@ -184,9 +184,9 @@
         )
         max_out = min(self._max_loads() + drains, self._max_out_of_use())
         for endpoint in self._due(now):
-            if len(self._loading) >= max_out:
+            if len(self._updating) >= max_out:
                 return
-            self._loading.add(endpoint.id)
+            self._updating.add(endpoint.id)
             self._task_group.start_soon(self._update_runner, endpoint)
 
     async def _reactivate_loading(self) -> None:
@@ -197,12 +197,12 @@
         """
         for endpoint in self._runners():
             if endpoint.status is EndpointStatus.LOADING:
-                await self._change(
+                await self._change_status(
                     endpoint, EndpointStatus.ACTIVE, "new leader"
                 )
         self._reactivated_loading = True
 
-    async def _change(
+    async def _change_status(
         self, endpoint: Endpoint, status: EndpointStatus, reason: str
     ) -> None:
         await self._member.leader.endpoints.change_status(
@@ -237,7 +237,7 @@
         due = [
             e
             for e in self._runners()
-            if e.id not in self._loading
+            if e.id not in self._updating
             and self._paused_until.get(e.id, 0.0) <= now
             and (self._is_outdated(e) or e.status is EndpointStatus.LOADING)
         ]
@@ -259,14 +259,14 @@
             for model, version in self._member.state.weights.items()
         )
 
-    def _wanted(
+    def _weights_to_load(
         self, endpoint: Endpoint, state: RunnerState
-    ) -> NamedWeights | None:
+    ) -> ModelWeights | None:
         """Returns the first target weights that a runner lacks, if any."""
         for model, version in self._member.state.weights.items():
             served = model in endpoint.serves
             if served and state.weights.get(model, 0) < version:
-                return NamedWeights(model, version)
+                return ModelWeights(model, version)
         return None
 
     async def _update_runner(self, endpoint: Endpoint) -> None:
@@ -284,16 +284,16 @@
             )
             if exc.reason == RetryReason.CONNECT_REFUSED:
                 # The runner counts as silent until its next heartbeat.
-                await self._change(
+                await self._change_status(
                     endpoint, EndpointStatus.SILENT, "connection refused"
                 )
             await self._reactivate(endpoint)
         finally:
-            pause = self._clock.now() + RETRY_DELAY_S
-            self._paused_until[endpoint.id] = pause
-            self._loading.discard(endpoint.id)
+            paused_until = self._clock.now() + RETRY_DELAY_S
+            self._paused_until[endpoint.id] = paused_until
+            self._updating.discard(endpoint.id)
             self._drained.discard(endpoint.id)
-            ended, self._load_ended = self._load_ended, anyio.Event()
+            ended, self._update_ended = self._update_ended, anyio.Event()
             ended.set()
 
     async def _load(self, endpoint: Endpoint) -> None:
@@ -305,23 +305,23 @@
         Raises:
             ExchangeError: The runner did not answer.
         """
-        await self._change(endpoint, EndpointStatus.LOADING, "load due")
+        await self._change_status(endpoint, EndpointStatus.LOADING, "load due")
         term = self._term
         state = await self._drain(endpoint)
         # A new leader waits until the orders of its predecessor have expired.
         await anyio.sleep(max(0.0, self._may_order_at - self._clock.now()))
-        wanted = self._wanted(endpoint, state)
+        wanted = self._weights_to_load(endpoint, state)
         may_order = self._may_order(term) and not state.busy
         if (
             wanted is not None
             and may_order
-            and await self._order(endpoint, wanted, state)
+            and await self._send_order(endpoint, wanted, state)
         ):
             await self._await_load(endpoint, wanted)
         await self._reactivate(endpoint)
 
     async def _await_load(
-        self, endpoint: Endpoint, wanted: NamedWeights
+        self, endpoint: Endpoint, wanted: ModelWeights
     ) -> None:
         """Waits, up to a timeout, until a heartbeat reports the weights.
 
@@ -352,7 +352,9 @@
         """Sets the status of a runner to active if it is still `loading`."""
         stored = self._stored_endpoint(endpoint)
         if stored is not None and stored.status is EndpointStatus.LOADING:
-            await self._change(endpoint, EndpointStatus.ACTIVE, "load ended")
+            await self._change_status(
+                endpoint, EndpointStatus.ACTIVE, "load ended"
+            )
 
     def _drain_timeout_s(self, endpoint: Endpoint) -> float:
         """Returns the maximum time to wait for a runner's requests.
@@ -360,14 +362,14 @@
         It is longest under a low load, and otherwise longer until a runner of
         the same service has the target weights.
         """
-        loaded = any(
+        is_any_updated = any(
             e.status is EndpointStatus.ACTIVE and not self._is_outdated(e)
             for e in self._runners()
             if e.serves == endpoint.serves
         )
         if self._is_lightly_loaded():
             return LOW_LOAD_DRAIN_TIMEOUT_S
-        return DRAIN_TIMEOUT_S if loaded else FIRST_DRAIN_TIMEOUT_S
+        return DRAIN_TIMEOUT_S if is_any_updated else FIRST_DRAIN_TIMEOUT_S
 
     def _is_lightly_loaded(self) -> bool:
         """Returns whether fewer runners could serve the current requests."""
@@ -391,7 +393,7 @@
             await anyio.sleep(POLL_INTERVAL_S)
         await self._await_queue(endpoint)
         while len(self._drained) >= self._max_loads():
-            await self._load_ended.wait()
+            await self._update_ended.wait()
         self._drained.add(endpoint.id)
         return await self._orders.report(endpoint)
 
@@ -409,8 +411,8 @@
         leads = self._member.leads_until() > now
         return leads and term == self._member.term and now >= self._may_order_at
 
-    async def _order(
-        self, endpoint: Endpoint, wanted: NamedWeights, state: RunnerState
+    async def _send_order(
+        self, endpoint: Endpoint, wanted: ModelWeights, state: RunnerState
     ) -> bool:
         """Sends an order; returns whether the runner accepted it."""
         order = LoadWeightsOrder(
