--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -28,12 +28,15 @@
 LOAD_S = 0.3
 TAKEOVER_DELAY_S = 0.6
 MODEL = "m"
-# Above the load below which more runners may drain concurrently.
+# Requests per runner; above the low load under which more runners may drain.
 BUSY_REQUESTS = 5
 
 
 class FakeMember:
-    """Applies commands immediately; replaces the member and its leader."""
+    """Stands for a member, its leader and its registry of endpoints.
+
+    Commands are applied immediately.
+    """
 
     def __init__(self):
         self.state = ControlState()
@@ -57,7 +60,10 @@
         self.changed = anyio.Event()
 
     def requests_at(self, endpoint_id: str) -> int:
-        """Returns the requests per endpoint; any number delays drains fully."""
+        """Returns the same number for all endpoints.
+
+        A number above 0 makes each drain last until its timeout.
+        """
         return self.requests
 
     def last_loading_at(self) -> float:
@@ -75,7 +81,16 @@
 
 @attrs.define
 class FakeRunner:
-    """A runner that loads weights in `LOAD_S`."""
+    """A runner that loads weights in `LOAD_S` seconds.
+
+    Attributes:
+        endpoint: Its endpoint.
+        version: Version of the loaded weights.
+        accepted: Number of orders that it accepted.
+        loading: Whether it is loading weights.
+        unanswered_orders: Number of next orders that it does not answer.
+        queue_ends_at: Time in seconds until which it has queued requests.
+    """
 
     endpoint: Endpoint
     version: int
@@ -86,7 +101,17 @@
 
 
 class FakeOrders:
-    """Executes orders and announces the loaded weights."""
+    """Executes orders and announces the loaded weights.
+
+    Attributes:
+        member: Receives the announcements.
+        group: Task group in which runners load.
+        runners: Runners by endpoint id.
+        orders: Endpoint id and order, of all orders sent.
+        refused_orders: Orders that a runner refused.
+        most_loading: Largest number of runners that loaded concurrently.
+        orders_while_queued: Number of orders to runners with queued requests.
+    """
 
     def __init__(self, member: FakeMember, group):
         self.member = member
@@ -95,7 +120,7 @@
         self.orders: list[tuple[str, LoadWeightsOrder]] = []
         self.refused_orders: list[LoadWeightsOrder] = []
         self.most_loading = 0
-        self.interrupted_queues = 0
+        self.orders_while_queued = 0
 
     async def report(self, endpoint: Endpoint) -> RunnerState:
         """Returns a runner's state."""
@@ -106,13 +131,17 @@
         )
 
     async def load(self, endpoint: Endpoint, order: LoadWeightsOrder) -> bool:
-        """Starts a load unless the order is outdated or a load is running."""
+        """Starts a load unless the order is outdated or a load is running.
+
+        Raises:
+            ExchangeError: The runner does not answer the order.
+        """
         runner = self.runners[endpoint.id]
         self.orders.append((endpoint.id, order))
         if runner.unanswered_orders:
             runner.unanswered_orders -= 1
             raise ExchangeError(RetryReason.ANSWER_TIMEOUT, "no answer", True)
-        self.interrupted_queues += Clock().now() < runner.queue_ends_at
+        self.orders_while_queued += Clock().now() < runner.queue_ends_at
         if order.expected_orders != runner.accepted or runner.loading:
             self.refused_orders.append(order)
             return False
@@ -140,7 +169,7 @@
 @given("a leading member and {count:d} runners with weights {version:d}")
 def leading_member(context, count, version):
     context.versions = {i: version for i in range(1, count + 1)}
-    context.takeover_delay_s, context.unanswered_runners, context.queues = (
+    context.takeover_delay_s, context.unanswered_runners, context.queue_s = (
         0.0,
         (),
         {},
@@ -201,7 +230,7 @@
             endpoint = runner_endpoint(number, version)
             member.apply(Announce(endpoint))
             unanswered = int(number in context.unanswered_runners)
-            queue_s = context.queues.get(number, 0.0)
+            queue_s = context.queue_s.get(number, 0.0)
             orders.runners[endpoint.id] = FakeRunner(
                 *(endpoint, version),
                 unanswered_orders=unanswered,
@@ -278,14 +307,14 @@
 
 @given("runner {number:d} has queued requests for {seconds:f} s")
 def set_queue_duration(context, number, seconds):
-    context.queues[number] = seconds
+    context.queue_s[number] = seconds
 
 
 @then("{count:d} runners were ordered while they had queued requests")
 @then("{count:d} runner was ordered while it had queued requests")
 def orders_during_queue(context, count):
-    assert context.orders.interrupted_queues == count, (
-        context.orders.interrupted_queues
+    assert context.orders.orders_while_queued == count, (
+        context.orders.orders_while_queued
     )
 
 
