--- a/knapweedarch/proxy_attempts.py
+++ b/knapweedarch/proxy_attempts.py
@@ -22,9 +22,9 @@
     RetryReason,
 )
 from knapweedarch.proxy_calls import (
-    Call,
     ExecutionStatus,
     Failure,
+    ProxyCall,
     remaining_s,
     retry_after_header,
     urgency,
@@ -96,7 +96,7 @@
             for store in stores
         }
 
-    def choose(self, call: Call) -> Endpoint | None:
+    def choose(self, call: ProxyCall) -> Endpoint | None:
         """Chooses the endpoint of the next attempt.
 
         A retry is counted against the repeat budget of its service.
@@ -130,22 +130,22 @@
         call.tried.append(endpoint.id)
         return endpoint
 
-    def record_sent(self, call: Call) -> None:
+    def record_sent(self, call: ProxyCall) -> None:
         """Records that a request is being written to an endpoint."""
         if not call.send_count:
             self._budget(call).record_request(self.clock.now())
         call.send_count += 1
 
-    def may_retry(self, call: Call) -> bool:
+    def may_repeat(self, call: ProxyCall) -> bool:
         """Returns whether attempts and time are left for a retry."""
         time_left_s = call.deadline - self.clock.now()
         return call.send_count < call.route.attempts and time_left_s > 0
 
-    def may_retry_again(self, call: Call) -> bool:
+    def may_repeat_after_next(self, call: ProxyCall) -> bool:
         """Returns whether the route allows a retry after the next attempt."""
         return call.send_count + 1 < call.route.attempts
 
-    def _budget(self, call: Call) -> RepeatBudget:
+    def _budget(self, call: ProxyCall) -> RepeatBudget:
         service = call.service.name
         budget = self._budgets.get(service)
         if budget is None:
@@ -155,7 +155,7 @@
         return budget
 
     async def open(
-        self, call: Call, endpoint: Endpoint, last_event_id: str = ""
+        self, call: ProxyCall, endpoint: Endpoint, last_event_id: str = ""
     ) -> Exchange:
         """Opens an exchange with an endpoint.
 
@@ -201,7 +201,7 @@
 
     def _send_options(
         self,
-        call: Call,
+        call: ProxyCall,
         endpoint: Endpoint,
         cached_tokens: int,
         last_event_id: str,
@@ -225,7 +225,7 @@
 
     def _with_cache_transfers(
         self,
-        call: Call,
+        call: ProxyCall,
         endpoint: Endpoint,
         cached_tokens: int,
         options: SendOptions,
@@ -251,14 +251,14 @@
                     save_to = address
         return attrs.evolve(options, fetch_from=source, save_to=save_to)
 
-    def unread_tokens(self, call: Call, endpoint: Endpoint) -> int:
+    def unread_tokens(self, call: ProxyCall, endpoint: Endpoint) -> int:
         """Returns the prompt tokens that a runner has to prefill."""
         prompt = call.options.prompt
         if prompt is None:
             return 0
         return prompt.tokens - self._cached_tokens(call, endpoint)
 
-    def _cached_tokens(self, call: Call, endpoint: Endpoint) -> int:
+    def _cached_tokens(self, call: ProxyCall, endpoint: Endpoint) -> int:
         """Returns the leading prompt tokens that a runner has cached."""
         if call.options.prompt is None:
             return 0
@@ -266,7 +266,7 @@
             call.options.prompt, call.cache_salt(endpoint), self.now()
         )
 
-    def _fetch_sources(self, call: Call, endpoint: Endpoint) -> list[str]:
+    def _fetch_sources(self, call: ProxyCall, endpoint: Endpoint) -> list[str]:
         """Returns the addresses that may hold cached parts.
 
         Usable runners with the same weights come first, those in the
@@ -287,7 +287,7 @@
         return self.clock.now()
 
     def record_rejection(
-        self, call: Call, endpoint: Endpoint, head: AnswerHead
+        self, call: ProxyCall, endpoint: Endpoint, head: AnswerHead
     ) -> Failure:
         """Records that an endpoint rejected a request without running it."""
         now = self.clock.now()
@@ -305,7 +305,7 @@
         )
 
     def record_broken_exchange(
-        self, call: Call, endpoint: Endpoint, exc: ExchangeError
+        self, call: ProxyCall, endpoint: Endpoint, exc: ExchangeError
     ) -> Failure:
         """Records that an exchange failed before its answer was complete."""
         now = self.clock.now()
@@ -326,7 +326,7 @@
         )
 
     def record_failure(
-        self, call: Call, endpoint: Endpoint, failure: Failure, detail: str
+        self, call: ProxyCall, endpoint: Endpoint, failure: Failure, detail: str
     ) -> Failure:
         """Counts and logs an attempt that produced no answer."""
         call.may_have_run |= failure.execution is ExecutionStatus.MAY_HAVE_RUN
@@ -343,13 +343,13 @@
         )
         return failure
 
-    def record_end(self, call: Call, end: RequestEnd) -> None:
+    def record_end(self, call: ProxyCall, end: RequestEnd) -> None:
         """Records the outcome of a request and its duration."""
         kind = call.route.repeatability.value
         duration_s = self.clock.now() - call.started_at
         self.metrics.timing(f"answer_time.{kind}.{end.value}", duration_s)
 
-    def record_caller_left(self, call: Call) -> None:
+    def record_caller_left(self, call: ProxyCall) -> None:
         """Records that a caller disconnected before its answer was complete."""
         self.metrics.count("cancelled")
         self.record_end(call, RequestEnd.CALLER_LEFT)
@@ -361,7 +361,7 @@
             left_ms=self._remaining_ms(call),
         )
 
-    def make_refusal(self, call: Call) -> Answer:
+    def make_refusal(self, call: ProxyCall) -> Answer:
         """Builds the final answer to a request that is not tried again.
 
         503 means that the request has not run. 502 and 504 mean that it may
@@ -382,18 +382,20 @@
         self._log_refusal(call, reason.value, status)
         return Answer(status=status, headers=headers)
 
-    def _refusal_reason(self, call: Call) -> RefusalReason:
+    def _refusal_reason(self, call: ProxyCall) -> RefusalReason:
         if remaining_s(call, self.clock) <= 0:
             return RefusalReason.DEADLINE
         if call.send_count:
             return RefusalReason.RETRIES_EXHAUSTED
         return RefusalReason.NO_CAPACITY
 
-    def _remaining_ms(self, call: Call) -> int:
+    def _remaining_ms(self, call: ProxyCall) -> int:
         """Returns the milliseconds until the deadline; negative after it."""
         return round((call.deadline - self.clock.now()) * 1000)
 
-    def _log_refusal(self, call: Call, reason: str, status: int = 0) -> None:
+    def _log_refusal(
+        self, call: ProxyCall, reason: str, status: int = 0
+    ) -> None:
         log(
             "request_given_up",
             request=call.options.request_id,
@@ -409,7 +411,7 @@
 class AttemptScope:
     """Counts an attempt in its endpoint's load and releases its connection."""
 
-    def __init__(self, attempts: Attempts, call: Call, endpoint: Endpoint):
+    def __init__(self, attempts: Attempts, call: ProxyCall, endpoint: Endpoint):
         self._attempts = attempts
         self._call = call
         self._endpoint = endpoint
@@ -445,7 +447,7 @@
 
 async def run_attempt(
     attempts: Attempts,
-    call: Call,
+    call: ProxyCall,
     endpoint: Endpoint,
     limit_s: float,
     exchange: Callable[[AttemptScope], Awaitable[Answer | Failure | None]],
--- a/knapweedarch/proxy_calls.py
+++ b/knapweedarch/proxy_calls.py
@@ -44,7 +44,7 @@
 
 
 @attrs.define
-class Call:
+class ProxyCall:
     """A request and the state of its attempts.
 
     Attributes:
@@ -106,12 +106,12 @@
     return b"retry-after", f"{max(0.05, delay_s):.2f}".encode()
 
 
-def remaining_s(call: Call, clock: Clock) -> float:
+def remaining_s(call: ProxyCall, clock: Clock) -> float:
     """Returns the seconds until the deadline of a request; 0 after it."""
     return max(0.0, call.deadline - clock.now())
 
 
-def urgency(call: Call) -> int:
+def urgency(call: ProxyCall) -> int:
     """Returns the urgency of a request at the runner; 0 is served first.
 
     The customer's priority takes precedence over the route's. A request with
--- a/knapweedarch/proxy_gateway.py
+++ b/knapweedarch/proxy_gateway.py
@@ -18,7 +18,7 @@
 from knapweedarch.metrics import Metrics
 from knapweedarch.models import RefusalReason, RequestEnd
 from knapweedarch.proxy_attempts import Attempts
-from knapweedarch.proxy_calls import Call, retry_after_header
+from knapweedarch.proxy_calls import ProxyCall, retry_after_header
 from knapweedarch.proxy_streams import StreamRelay
 from knapweedarch.proxy_unary import serve_unary
 from knapweedarch.timers import Clock
@@ -87,7 +87,7 @@
         match self._admit(req, options):
             case RefusalReason() as reason:
                 await self._refuse(options, responder, reason)
-            case Call() as call:
+            case ProxyCall() as call:
                 await self._serve(call, responder)
 
     async def _wait_for_first_lease(self, options: CallerOptions) -> None:
@@ -98,7 +98,7 @@
         with anyio.move_on_after(wait_s):
             await self.started.wait()
 
-    async def _serve(self, call: Call, responder: Responder) -> None:
+    async def _serve(self, call: ProxyCall, responder: Responder) -> None:
         end = RequestEnd.CALLER_LEFT
         try:
             if call.route.streams:
@@ -114,7 +114,7 @@
 
     def _admit(
         self, req: Request, options: CallerOptions
-    ) -> Call | RefusalReason:
+    ) -> ProxyCall | RefusalReason:
         """Resolves route and customer; returns the reason of a refusal."""
         if reason := self._may_start():
             return reason
@@ -129,7 +129,7 @@
                 return RefusalReason.UNKNOWN_KEY
         name = self._table.choose_service(route, self._random.random())
         limit_s = min(route.timeout_s, options.limit_s or route.timeout_s)
-        return Call(
+        return ProxyCall(
             req=req,
             options=options,
             route=route,
--- a/knapweedarch/proxy_streams.py
+++ b/knapweedarch/proxy_streams.py
@@ -17,7 +17,12 @@
     read_full_answer,
     run_attempt,
 )
-from knapweedarch.proxy_calls import Call, ExecutionStatus, Failure, remaining_s
+from knapweedarch.proxy_calls import (
+    ExecutionStatus,
+    Failure,
+    ProxyCall,
+    remaining_s,
+)
 
 # A resumable stream without an event for this long is resumed at another
 # runner. Callers time out after 2 s or more. The limit for the first event is a
@@ -29,7 +34,9 @@
 class StreamRelay:
     """Relays one stream to the caller, resuming it at other runners."""
 
-    def __init__(self, attempts: Attempts, call: Call, responder: Responder):
+    def __init__(
+        self, attempts: Attempts, call: ProxyCall, responder: Responder
+    ):
         self._attempts = attempts
         self._call = call
         self._responder = responder
@@ -76,7 +83,7 @@
                     not call.route.resumable
                 ):
                     break
-            if not attempts.may_retry(call):
+            if not attempts.may_repeat(call):
                 break
         if self._responder.started:
             self._responder.abort()
@@ -114,7 +121,7 @@
         return None
 
     async def _read_head(self, exchange: Exchange) -> AnswerHead:
-        limit_s = self._silence_limit()
+        limit_s = self._silence_limit_s()
         with anyio.move_on_after(limit_s):
             return await exchange.answer()
         raise ExchangeError(
@@ -123,13 +130,13 @@
             True,
         )
 
-    def _silence_limit(self) -> float | None:
+    def _silence_limit_s(self) -> float | None:
         """Returns the time without data after which a runner is given up.
 
         It is None if the stream cannot be resumed at another runner.
         """
         route = self._call.route
-        if not route.resumable or not self._attempts.may_retry(self._call):
+        if not route.resumable or not self._attempts.may_repeat(self._call):
             return None
         if self._event_count:
             return max(route.event_gap_s * EVENT_LIMIT_GAPS, 0.5)
@@ -176,21 +183,21 @@
             events = splitter.feed(part)
             if events.data:
                 scope.record_prompt_read()
-                self._note_events(endpoint, events.count, events.last_id)
+                self._record_events(endpoint, events.count, events.last_id)
                 await self._responder.write(events.data)
         if rest := splitter.rest():
             await self._responder.write(rest)
         await self._responder.end()
 
     async def _read(self, exchange: Exchange) -> bytes | None:
-        limit_s = self._silence_limit()
+        limit_s = self._silence_limit_s()
         with anyio.move_on_after(limit_s):
             return await exchange.read()
         raise ExchangeError(
             RetryReason.STREAM_SILENT, f"no data within {limit_s} s", True
         )
 
-    def _note_events(
+    def _record_events(
         self, endpoint: Endpoint, count: int, last_id: str
     ) -> None:
         now = self._attempts.clock.now()
--- a/knapweedarch/proxy_unary.py
+++ b/knapweedarch/proxy_unary.py
@@ -12,14 +12,19 @@
     read_full_answer,
     run_attempt,
 )
-from knapweedarch.proxy_calls import Call, ExecutionStatus, Failure, remaining_s
+from knapweedarch.proxy_calls import (
+    ExecutionStatus,
+    Failure,
+    ProxyCall,
+    remaining_s,
+)
 
 # Fraction of the remaining time that an attempt gets if a retry may follow.
 ATTEMPT_TIME_FRACTION = 0.5
 
 
 async def serve_unary(
-    attempts: Attempts, call: Call, responder: Responder
+    attempts: Attempts, call: ProxyCall, responder: Responder
 ) -> RequestEnd:
     """Answers a request with an endpoint's answer or a refusal.
 
@@ -46,7 +51,7 @@
     return RequestEnd.FAILED if answer.status >= 500 else RequestEnd.ANSWERED
 
 
-async def _answer(attempts: Attempts, call: Call) -> Answer:
+async def _answer(attempts: Attempts, call: ProxyCall) -> Answer:
     last_error: Answer | None = None
     while endpoint := attempts.choose(call):
         match await _attempt(attempts, call, endpoint):
@@ -58,20 +63,20 @@
                 not call.route.repeatable
             ):
                 break
-        if not attempts.may_retry(call):
+        if not attempts.may_repeat(call):
             break
     return last_error or attempts.make_refusal(call)
 
 
-def _should_retry(call: Call, answer: Answer) -> bool:
+def _should_retry(call: ProxyCall, answer: Answer) -> bool:
     return answer.status >= 500 and call.route.repeatable
 
 
 async def _attempt(
-    attempts: Attempts, call: Call, endpoint: Endpoint
+    attempts: Attempts, call: ProxyCall, endpoint: Endpoint
 ) -> Answer | Failure:
     limit_s = remaining_s(call, attempts.clock)
-    if call.route.repeatable and attempts.may_retry_again(call):
+    if call.route.repeatable and attempts.may_repeat_after_next(call):
         limit_s *= ATTEMPT_TIME_FRACTION
     return await run_attempt(
         *(attempts, call, endpoint, limit_s),
@@ -80,7 +85,7 @@
 
 
 async def _exchange(
-    attempts: Attempts, call: Call, endpoint: Endpoint, scope: AttemptScope
+    attempts: Attempts, call: ProxyCall, endpoint: Endpoint, scope: AttemptScope
 ) -> Answer | Failure:
     started_at = attempts.clock.now()
     scope.exchange = await attempts.open(call, endpoint)
