--- a/features/proxy_harness.py
+++ b/features/proxy_harness.py
@@ -33,7 +33,7 @@
 # Timeout of one scenario, so that a hang fails instead of blocking the run.
 SCENARIO_TIMEOUT_S = 15.0
 # Start of the router in the past, so that its full retry budget is available.
-LONG_AGO_S = 100.0
+ROUTER_AGE_S = 100.0
 
 # More than half of the requests' time limit of 2 s, so that an attempt which
 # must leave time for a retry would time out.
@@ -269,14 +269,14 @@
 
 
 def request(
-    kind: str = "once",
+    route_name: str = "once",
     extra: str = "",
     body: bytes = b"",
     request_id: str = "r1",
 ) -> bytes:
-    """Builds a caller's request to the route named `kind`."""
+    """Builds a caller's request to the route named `route_name`."""
     head = (
-        f"POST /{kind}/x HTTP/1.1\r\nHost: {HOST}\r\n"
+        f"POST /{route_name}/x HTTP/1.1\r\nHost: {HOST}\r\n"
         f"X-Knapweedarch-Request-Id: {request_id}\r\n"
         f"Authorization: Token {KEY}\r\nX-Knapweedarch-Deadline-Ms: 2000\r\n"
         f"{extra}Content-Length: {len(body)}\r\n\r\n"
@@ -338,7 +338,7 @@
             index=PartsIndex(),
             limits=RepeatLimits(1.0, 100.0, 10.0),
             may_start=lambda: self.refusal,
-            started_at=clock.now() - LONG_AGO_S,
+            started_at=clock.now() - ROUTER_AGE_S,
         )
         self.gateway = ProxyGateway(
             *(PlatformDialect(), self.attempts, clock, self.metrics),
@@ -412,7 +412,9 @@
             OutboundPool(Clock()) as pool,
             anyio.create_task_group() as group,
         ):
-            site = ProxyFixture(group, pool)
-            site.port = await group.start(site.server.serve, "127.0.0.1", 0)
-            yield site
+            fixture = ProxyFixture(group, pool)
+            fixture.port = await group.start(
+                fixture.server.serve, "127.0.0.1", 0
+            )
+            yield fixture
             group.cancel_scope.cancel()
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -165,10 +165,10 @@
     assert [s.service for s in route.split] == [service]
 
 
-@then('the store holds {tokens:d} tokens in "{zone}"')
-def check_store(context, tokens, zone):
+@then('the store holds {tokens:d} tokens in "{data_centre}"')
+def check_store(context, tokens, data_centre):
     (store,) = context.deployment.stores
-    assert (store.memory_tokens, store.data_centre) == (tokens, zone)
+    assert (store.memory_tokens, store.data_centre) == (tokens, data_centre)
 
 
 @then('customer "{name}" holds {count:d} keys and is isolated')
--- a/features/steps/proxy_steps.py
+++ b/features/steps/proxy_steps.py
@@ -18,7 +18,7 @@
 )
 from knapweedarch.models import RefusalReason
 
-KINDS = {
+ROUTE_NAMES = {
     "may run once": "once",
     "may run many times": "many",
     "may be resumed": "resume",
@@ -45,12 +45,12 @@
     """Sends raw requests to a proxy that has the scenario's runners."""
 
     async def run():
-        async with open_proxy() as site:
+        async with open_proxy() as fixture:
             for mode in context.modes:
-                await site.add_runner(mode)
-            found = [await site.send(part, **options) for part in data]
-            context.runners = site.runners
-            context.site_metrics = site.metrics
+                await fixture.add_runner(mode)
+            found = [await fixture.send(part, **options) for part in data]
+            context.runners = fixture.runners
+            context.proxy_metrics = fixture.metrics
             return found
 
     context.answers = anyio.run(run)
@@ -66,23 +66,23 @@
 @when("a caller sends a request that {kind} and leaves")
 def sends_and_leaves(context, kind):
     async def run():
-        async with open_proxy() as site:
-            runner = await site.add_runner(context.modes[0])
-            stream = await anyio.connect_tcp("127.0.0.1", site.port)
+        async with open_proxy() as fixture:
+            runner = await fixture.add_runner(context.modes[0])
+            stream = await anyio.connect_tcp("127.0.0.1", fixture.port)
             async with stream:
-                await stream.send(request(KINDS[kind]))
+                await stream.send(request(ROUTE_NAMES[kind]))
                 await runner.wait(lambda: runner.received)
             with anyio.fail_after(0.5):
                 await runner.wait(lambda: runner.closed_connections)
-            context.runners = site.runners
-            context.site_metrics = site.metrics
+            context.runners = fixture.runners
+            context.proxy_metrics = fixture.metrics
 
     anyio.run(run)
 
 
 @when("a caller sends a request that {kind}")
 def sends(context, kind):
-    send_requests(context, request(KINDS[kind]))
+    send_requests(context, request(ROUTE_NAMES[kind]))
 
 
 @when("a caller sends headers that only the system may set")
@@ -113,13 +113,13 @@
     context.bodies = [rng.randbytes(rng.randrange(1, 3000)) for _ in range(20)]
 
     async def run():
-        async with open_proxy() as site:
-            runner = await site.add_runner(context.modes[0])
+        async with open_proxy() as fixture:
+            runner = await fixture.add_runner(context.modes[0])
             statuses = []
             for body in context.bodies[:count]:
                 data = framed(rng, body)
                 parts = rng.choice((1, 2, 7, 31))
-                answer = await site.send(data, 0.05, parts)
+                answer = await fixture.send(data, 0.05, parts)
                 statuses.append(answer.status)
             context.statuses, context.received = statuses, runner.received
 
@@ -242,16 +242,16 @@
 @when("the server refuses new work with 1 request and 1 idle connection open")
 def refuses_new(context):
     async def run():
-        async with open_proxy() as site:
-            runner = await site.add_runner(context.modes[0])
-            busy = await anyio.connect_tcp("127.0.0.1", site.port)
-            idle = await anyio.connect_tcp("127.0.0.1", site.port)
+        async with open_proxy() as fixture:
+            runner = await fixture.add_runner(context.modes[0])
+            busy = await anyio.connect_tcp("127.0.0.1", fixture.port)
+            idle = await anyio.connect_tcp("127.0.0.1", fixture.port)
             async with busy, idle:
                 await busy.send(request("once"))
                 await runner.wait(lambda: runner.received)
-                site.server.stop_accepting()
+                fixture.server.stop_accepting()
                 context.idle_closed = await is_closed(idle)
-                context.accepted_new = await is_accepted(site.port)
+                context.accepted_new = await is_accepted(fixture.port)
                 context.answer = RawAnswer(await receive_all(busy, 0.4))
 
     anyio.run(run)
@@ -297,15 +297,15 @@
 @when("the server refuses new work while a stream is relayed")
 def refuses_during_stream(context):
     async def run():
-        async with open_proxy() as site:
-            await site.add_runner(context.modes[0])
-            caller = await anyio.connect_tcp("127.0.0.1", site.port)
+        async with open_proxy() as fixture:
+            await fixture.add_runner(context.modes[0])
+            caller = await anyio.connect_tcp("127.0.0.1", fixture.port)
             async with caller:
                 await caller.send(request("stream"))
                 context.data = await caller.receive()
                 while EVENTS[0] not in context.data:
                     context.data += await caller.receive()
-                site.server.stop_accepting()
+                fixture.server.stop_accepting()
                 context.data += await receive_all(caller, 0.5)
                 context.idle_closed = await is_closed(caller)
 
@@ -322,15 +322,15 @@
 @when("a request comes to a router {state}")
 def comes_to_router(context, state):
     async def run():
-        async with open_proxy() as site:
-            await site.add_runner(context.modes[0])
-            site.refusal = RefusalReason.LEASE_EXPIRED
+        async with open_proxy() as fixture:
+            await fixture.add_runner(context.modes[0])
+            fixture.refusal = RefusalReason.LEASE_EXPIRED
             if state != "whose lease has ended":
-                site.gateway.started = anyio.Event()
+                fixture.gateway.started = anyio.Event()
             if "first lease" in state:
-                site.group.start_soon(first_lease, site)
+                fixture.group.start_soon(grant_first_lease, fixture)
             began_at = anyio.current_time()
-            stream = await anyio.connect_tcp("127.0.0.1", site.port)
+            stream = await anyio.connect_tcp("127.0.0.1", fixture.port)
             async with stream:
                 await stream.send(request("once"))
                 context.answer = RawAnswer(await stream.receive())
@@ -339,10 +339,10 @@
     anyio.run(run)
 
 
-async def first_lease(site):
+async def grant_first_lease(fixture):
     await anyio.sleep(0.2)
-    site.refusal = None
-    site.gateway.started.set()
+    fixture.refusal = None
+    fixture.gateway.started.set()
 
 
 @then("it ends with {status:d} after {least:f} to {most:f} s")
@@ -354,13 +354,13 @@
 @when("{count:d} requests are sent one after the other")
 def sent_in_turn(context, count):
     async def run():
-        async with open_proxy() as site:
-            await site.add_runner(context.modes[0])
+        async with open_proxy() as fixture:
+            await fixture.add_runner(context.modes[0])
             for number in range(count):
-                own = f"r{number}"
-                data = request("once", request_id=own)
-                answer = await site.send(data, idle_s=0.02)
-                context.answers.append((own, answer))
+                request_id = f"r{number}"
+                data = request("once", request_id=request_id)
+                answer = await fixture.send(data, idle_s=0.02)
+                context.answers.append((request_id, answer))
 
     context.answers = []
     anyio.run(run)
@@ -368,11 +368,11 @@
 
 @then("each success is the runner's complete answer to its own request")
 def own_answers(context):
-    for own, answer in context.answers:
+    for request_id, answer in context.answers:
         if answer.status == 200:
             assert answer.body == BODY, answer
-            own_line = f"x-knapweedarch-request-id: {own}"
-            assert own_line in answer.head.lower().split("\r\n"), answer
+            id_line = f"x-knapweedarch-request-id: {request_id}"
+            assert id_line in answer.head.lower().split("\r\n"), answer
 
 
 @then("some answers succeeded and more than {count:d} did not")
