--- a/knapweedarch/cache_feeds.py
+++ b/knapweedarch/cache_feeds.py
@@ -19,8 +19,8 @@
     """Timing of the long polling of a source.
 
     Attributes:
-        wait_s: Longest time for which the source waits for an event.
-        pause_s: Pause before the next call, which batches events.
+        wait_s: Longest time in seconds for which the source waits for an event.
+        pause_s: Pause in seconds before the next call, which batches events.
     """
 
     wait_s: float
@@ -58,7 +58,12 @@
     async def cache_changes(
         self, address: str, since: int, wait_s: float
     ) -> CacheChanges:
-        """Waits for the events from number `since` on.
+        """Waits up to `wait_s` seconds for the events from `since` on.
+
+        Args:
+            address: IP address and port of the source.
+            since: Number of the first event to return.
+            wait_s: Longest wait in seconds if there is no such event yet.
 
         Raises:
             ExchangeError: The source did not answer.
@@ -66,10 +71,10 @@
 
 
 class CacheFeeds:
-    """Runs one feed per source.
+    """Runs one long-polling task per source and updates the index.
 
     Attributes:
-        on_answer: Called with the address of each source that answers.
+        on_answer: Called with the address of the source after each answer.
     """
 
     def __init__(
@@ -88,7 +93,10 @@
         return len(self._answering)
 
     def set_sources(self, sources: Iterable[FeedSource]) -> None:
-        """Starts feeds of new sources and ends those of removed ones."""
+        """Starts following new sources and stops following removed ones.
+
+        The parts of removed sources are removed from the index.
+        """
         wanted = set(sources)
         for source in self._scopes.keys() - wanted:
             self._scopes.pop(source).cancel()
--- a/knapweedarch/dialects.py
+++ b/knapweedarch/dialects.py
@@ -16,7 +16,8 @@
     Attributes:
         request_id: Id of this attempt of the caller.
         key: API key; empty if none.
-        limit_s: Time limit in seconds; None if not set.
+        limit_s: Time limit in seconds, from the first byte of the request;
+            None if not set.
         last_event_id: Id of the last event received of an interrupted stream;
             empty for a new stream.
         prompt: The prompt; None if the request names no model.
@@ -37,7 +38,7 @@
         instance_id: Id of the intended endpoint; any other refuses the request.
         limit_s: Remaining time in seconds.
         customer: Name of the customer; empty if none.
-        weights_version: Expected weights; empty for plain services.
+        weights_version: Expected weights version; empty for plain services.
         cache_salt: Salt of the keys of cached parts.
         urgency: Urgency at the runner, 0 to 9, where 0 is served first; None
             for no header.
@@ -68,10 +69,10 @@
         """Returns the headers of the request to an endpoint."""
 
     def is_answer_to(self, headers: Headers, request_id: str) -> bool:
-        """Tells whether the headers of a response match a request id."""
+        """Returns whether the headers of an answer match a request id."""
 
     def was_not_run(self, head: AnswerHead) -> bool:
-        """Tells whether the endpoint states that the request did not run."""
+        """Returns whether the endpoint states that the request did not run."""
 
     def is_wrong_instance(self, head: AnswerHead, instance_id: str) -> bool:
-        """Tells whether an instance other than the intended one answered."""
+        """Returns whether an instance other than the intended one answered."""
--- a/knapweedarch/prompt_parts.py
+++ b/knapweedarch/prompt_parts.py
@@ -12,7 +12,7 @@
     """A part of a prompt.
 
     Attributes:
-        id: Id of the part; equal tokens have the same id.
+        id: Id of the part; parts with equal tokens have the same id.
         tokens: Length in tokens.
     """
 
--- a/knapweedarch/proxy.py
+++ b/knapweedarch/proxy.py
@@ -47,10 +47,11 @@
         ready_path: Path of the readiness check.
         metrics: Address from which metrics are scraped.
         distances_s: One-way delay to each data centre in seconds.
-        repeats: Retry limit of all proxies together.
-        stop_s: Time from the stop signal until the process is killed.
-        ready_lag_s: Time from a failed readiness check until the load balancer
-            sends no more callers here.
+        repeats: Limit of repeats for all proxies together.
+        stop_s: Time in seconds from the stop signal until the process is
+            killed.
+        ready_lag_s: Time in seconds from a failed readiness check until the
+            load balancer sends no more callers here.
     """
 
     name: str
@@ -132,7 +133,7 @@
         self._ready_server = InboundServer(self._answer_ready, clock)
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
-        """Serves until SIGTERM, then drains and returns."""
+        """Serves until SIGTERM or SIGINT, then drains and returns."""
         self._keeper.subscribe(self._timers)
         self._timers.every(
             CLOSE_EXPIRED_INTERVAL_S, self._close_expired_connections
@@ -227,7 +228,7 @@
         self._attempts.chooser.set_peer_loads(totals, self._clock.now())
 
     def _update_gauges(self, now: float) -> None:
-        """Sets the gauges for the state that this proxy decides by."""
+        """Sets the gauges that show how current this proxy's state is."""
         gauge = self._metrics.gauge
         left_s = self._keeper.lease.left_s(now)
         gauge("lease.left_s", left_s)
@@ -276,7 +277,7 @@
 
     Args:
         settings: Settings.
-        dialect: Header encoding of the platform.
+        dialect: Codec of the platform's headers.
         pool: Connections to endpoints.
         feed: Requests for cache events.
         clock: Time source.
--- a/knapweedarch/proxy_attempts.py
+++ b/knapweedarch/proxy_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of proxied requests: endpoint selection, sends and retries."""
+"""Attempts of proxied requests: endpoint selection, sends and repeats."""
 
 from collections.abc import Awaitable, Callable, Iterable
 
@@ -39,7 +39,25 @@
 
 
 class Attempts:
-    """Chooses endpoints, opens exchanges and enforces the repeat budgets."""
+    """Chooses endpoints, opens exchanges and enforces the repeat budgets.
+
+    A repeat is any further send of a request, as a retry or to resume a
+    stream.
+
+    Args:
+        clock: Time source.
+        metrics: Metrics of the process.
+        dialect: Codec of the platform's headers.
+        pool: Connections to endpoints.
+        chooser: Chooses among usable endpoints.
+        index: Prompt parts cached in runners and stores.
+        limits: Limit of repeats for all routers together.
+        may_start: Returns why no request may be sent now, or None if it may.
+        started_at: When the router started, in seconds on its clock.
+
+    Attributes:
+        router_count: Number of routers that share the limit of repeats.
+    """
 
     def __init__(
         self,
@@ -99,10 +117,10 @@
     def choose(self, call: ProxyCall) -> Endpoint | None:
         """Chooses the endpoint of the next attempt.
 
-        A retry is counted against the repeat budget of its service.
+        A repeat is counted against the repeat budget of its service.
 
         Returns:
-            The endpoint; None if none is usable or the budget is exhausted.
+            The endpoint; None if none is usable or the budget is used up.
         """
         now = self.clock.now()
         endpoints = self._by_service.get(call.service.name, ())
@@ -131,18 +149,18 @@
         return endpoint
 
     def record_sent(self, call: ProxyCall) -> None:
-        """Records that a request is being written to an endpoint."""
+        """Counts a send, immediately before the request is written."""
         if not call.send_count:
             self._budget(call).record_request(self.clock.now())
         call.send_count += 1
 
     def may_repeat(self, call: ProxyCall) -> bool:
-        """Returns whether attempts and time are left for a retry."""
+        """Returns whether attempts and time are left for a repeat."""
         time_left_s = call.deadline - self.clock.now()
         return call.send_count < call.route.attempts and time_left_s > 0
 
     def may_repeat_after_next(self, call: ProxyCall) -> bool:
-        """Returns whether the route allows a retry after the next attempt."""
+        """Returns whether the route allows a repeat after the next attempt."""
         return call.send_count + 1 < call.route.attempts
 
     def _budget(self, call: ProxyCall) -> RepeatBudget:
@@ -159,8 +177,15 @@
     ) -> Exchange:
         """Opens an exchange with an endpoint.
 
+        Args:
+            call: The request.
+            endpoint: Endpoint to send it to.
+            last_event_id: Id of the last event relayed to the caller; empty
+                if none was.
+
         Raises:
-            ExchangeError: Nothing was sent.
+            ExchangeError: The connection failed, or no request may be sent
+                now; nothing was written.
         """
         prompt = call.options.prompt
         cached_tokens = self._cached_tokens(call, endpoint)
@@ -289,7 +314,7 @@
     def record_rejection(
         self, call: ProxyCall, endpoint: Endpoint, head: AnswerHead
     ) -> Failure:
-        """Records that an endpoint rejected a request without running it."""
+        """Records that an endpoint refused a request without running it."""
         now = self.clock.now()
         reason = RetryReason.ENDPOINT_REFUSED
         if self.dialect.is_wrong_instance(head, endpoint.id):
@@ -328,7 +353,7 @@
     def record_failure(
         self, call: ProxyCall, endpoint: Endpoint, failure: Failure, detail: str
     ) -> Failure:
-        """Counts and logs an attempt that produced no answer."""
+        """Counts and logs an attempt without an answer for the caller."""
         call.may_have_run |= failure.execution is ExecutionStatus.MAY_HAVE_RUN
         self.metrics.count(f"retried.{failure.reason.value}")
         log(
@@ -362,10 +387,10 @@
         )
 
     def make_refusal(self, call: ProxyCall) -> Answer:
-        """Builds the final answer to a request that is not tried again.
+        """Builds the final answer to a request that is not sent again.
 
-        503 means that the request has not run. 502 and 504 mean that it may
-        have run.
+        503 means that the request has not run. 502 means that it may have run,
+        and 504 that it may have run and its deadline has passed.
         """
         reason = self._refusal_reason(call)
         if call.may_have_run:
@@ -409,7 +434,13 @@
 
 
 class AttemptScope:
-    """Counts an attempt in its endpoint's load and releases its connection."""
+    """Counts an attempt in its endpoint's load and releases its connection.
+
+    Attributes:
+        exchange: The exchange; None until it is open.
+        head: Head of an answer that was read to its end, so that the
+            connection may be reused; None closes the connection.
+    """
 
     def __init__(self, attempts: Attempts, call: ProxyCall, endpoint: Endpoint):
         self._attempts = attempts
@@ -455,7 +486,7 @@
     """Runs one attempt within a time limit.
 
     Args:
-        attempts: Records the attempt and its outcome.
+        attempts: Records the outcome of the attempt.
         call: The request.
         endpoint: Endpoint to send it to.
         limit_s: Time limit in seconds.
--- a/knapweedarch/proxy_calls.py
+++ b/knapweedarch/proxy_calls.py
@@ -18,8 +18,10 @@
 RETRY_AFTER_S = 0.4
 # Urgency at a runner ranges from 0, the most urgent, to this value.
 LOWEST_URGENCY = 9
+# Route priorities 0 to 2 are ranked within each customer priority.
 ROUTE_PRIORITY_LEVELS = 3
-# Time from the start of a router to its first lease when all start together.
+# Mean Retry-After delay from a router without a lease. Routers that all start
+# together get their first lease in about this time.
 FIRST_LEASE_RETRY_AFTER_S = 1.0
 
 
@@ -53,8 +55,10 @@
         route: The matching route.
         service: Service that the route assigned.
         customer: Customer of the key; None where no key is required.
-        deadline: When the final answer is due, on the router's clock.
-        started_at: When the first byte of the request was read.
+        deadline: When the final answer is due, in seconds on the router's
+            clock.
+        started_at: When the first byte of the request was read, on the same
+            clock.
         tried: Ids of the endpoints tried, in order.
         send_count: Number of attempts of which any byte may have been sent.
         may_have_run: Whether any attempt may have run.
@@ -95,6 +99,9 @@
         remaining_s: Time that the caller has left. The delay is at most a
             third of it, unless that is below the minimum.
         reason: Why the request is refused.
+
+    Returns:
+        Name and value of the header; the value is in seconds.
     """
     base_delay_s = RETRY_AFTER_S
     if reason is RefusalReason.LEASE_EXPIRED:
@@ -107,16 +114,16 @@
 
 
 def remaining_s(call: ProxyCall, clock: Clock) -> float:
-    """Returns the seconds until the deadline of a request; 0 after it."""
+    """Returns the seconds until the deadline of a request, or 0 after it."""
     return max(0.0, call.deadline - clock.now())
 
 
 def urgency(call: ProxyCall) -> int:
     """Returns the urgency of a request at the runner; 0 is served first.
 
-    The customer's priority takes precedence over the route's. A request with
-    more than one earlier send is the most urgent, because its caller may
-    be waiting in the middle of a broken stream.
+    The customer's priority takes precedence over the route's. A request that
+    was sent more than once before is the most urgent, because its caller may
+    be waiting in the middle of an interrupted stream.
     """
     if call.send_count > 1:
         return 0
--- a/knapweedarch/proxy_gateway.py
+++ b/knapweedarch/proxy_gateway.py
@@ -23,7 +23,7 @@
 from knapweedarch.proxy_unary import serve_unary
 from knapweedarch.timers import Clock
 
-# The final answer is sent this long before the caller's deadline.
+# The final answer is due this long before the time limit of the request ends.
 ANSWER_MARGIN_S = 0.03
 
 # A process that has just started gets its first lease within about a second.
@@ -41,8 +41,9 @@
     """Answers the requests of callers.
 
     Attributes:
-        ready: Whether a configuration has been set.
-        started: Set when requests may be served for the first time.
+        ready: Whether a deployment configuration has been set.
+        started: Set once requests may be served for the first time; until
+            then requests wait a moment for the first lease.
     """
 
     def __init__(
@@ -115,7 +116,7 @@
     def _admit(
         self, req: Request, options: CallerOptions
     ) -> ProxyCall | RefusalReason:
-        """Resolves route and customer; returns the reason of a refusal."""
+        """Resolves route, customer and service, or returns the refusal."""
         if reason := self._may_start():
             return reason
         host = req.header(b"host").decode("latin-1").partition(":")[0]
--- a/knapweedarch/proxy_streams.py
+++ b/knapweedarch/proxy_streams.py
@@ -24,9 +24,10 @@
     remaining_s,
 )
 
-# A resumable stream without an event for this long is resumed at another
-# runner. Callers time out after 2 s or more. The limit for the first event is a
-# multiple of the route's latency goal, that for later ones of its event gap.
+# Limits of the time without data, after which a resumable stream is resumed at
+# another runner: before the first event as a multiple of the route's latency
+# goal, after it as a multiple of the route's event gap. Callers time out after
+# 2 s or more.
 FIRST_EVENT_LIMIT_GOALS = 3.5
 EVENT_LIMIT_GAPS = 3.0
 
@@ -46,7 +47,7 @@
         self._status = 0
 
     async def serve(self) -> RequestEnd:
-        """Relays the stream to its end or sends an error.
+        """Relays the stream to its end, sends an error or aborts the stream.
 
         Raises:
             CallerGoneError: The caller disconnected before the end.
@@ -95,7 +96,7 @@
         return RequestEnd.REFUSED if is_refusal else RequestEnd.FAILED
 
     async def _attempt(self, endpoint: Endpoint) -> Failure | None:
-        """Relays from one runner; returns None if no retry is needed."""
+        """Relays from one runner; returns None once the caller is answered."""
         limit_s = remaining_s(self._call, self._attempts.clock)
         return await run_attempt(
             *(self._attempts, self._call, endpoint, limit_s),
@@ -131,9 +132,10 @@
         )
 
     def _silence_limit_s(self) -> float | None:
-        """Returns the time without data after which a runner is given up.
+        """Returns the time without data after which an attempt is ended.
 
-        It is None if the stream cannot be resumed at another runner.
+        It is at least 0.5 s, and None if the stream may not be resumed at
+        another runner.
         """
         route = self._call.route
         if not route.resumable or not self._attempts.may_repeat(self._call):
@@ -145,7 +147,7 @@
     async def _forward_error(
         self, endpoint: Endpoint, exchange: Exchange, head: AnswerHead
     ) -> Failure | None:
-        """Forwards a runner's error response unless the stream has started."""
+        """Forwards a runner's error answer unless the stream has started."""
         answer = await read_full_answer(exchange, head)
         self._attempts.chooser.record_failure(
             endpoint, self._attempts.clock.now()
--- a/knapweedarch/stored_parts.py
+++ b/knapweedarch/stored_parts.py
@@ -1,4 +1,4 @@
-"""Index of the prompt parts cached in stores and runners, by their events.
+"""Index of the prompt parts cached in stores and runners, from their events.
 
 Events are delayed, a few are lost, and only some routers may follow a source
 at once. A part that this router has just sent is therefore assumed to be
@@ -17,11 +17,12 @@
 ASSUMED_CACHED_S = 2.0
 # A fetch that finds nothing costs as much as prefilling this many tokens.
 MIN_FETCH_TOKENS = 32
-# Prompts with fewer shared tokens are not saved in a store.
+# Prompts with fewer shared tokens are not worth saving in a store.
 MIN_SAVE_TOKENS = 1_000
-# Prompts with more unshared tokens cost too much to transfer to a store.
+# Prompts with more unshared tokens are not worth their transfer to a store.
 MAX_UNSHARED_TOKENS = 4_000
-# Time until a save appears in the events, which is after the prompt's prefill.
+# Time until a save appears in the store's events. It appears only after the
+# prompt has been prefilled.
 SAVE_VISIBLE_S = 2.0
 
 
@@ -154,7 +155,8 @@
             now: Seconds on the router's clock.
 
         Returns:
-            The address; empty if no source has enough more than the runner.
+            The address; empty if no source has at least `MIN_FETCH_TOKENS`
+            more leading tokens cached than the runner.
         """
         best, best_tokens = "", cached_tokens + MIN_FETCH_TOKENS - 1
         for address in addresses:
@@ -167,8 +169,9 @@
 class SaveLimiter:
     """Limits which prompts are saved in a store, and how often.
 
-    A save copies a whole prompt over the store's link, so only prompts whose
-    shared parts are missing from the store are saved, at a limited rate.
+    A save copies a whole prompt over the store's link. Saves are therefore
+    limited to a rate and to prompts with many shared and few unshared tokens.
+    `Attempts` checks that shared parts are missing from the store.
 
     Args:
         saves_per_s: Saves per second that this router may request.
@@ -180,7 +183,13 @@
         self._next_save_at = 0.0
 
     def allow(self, prompt: Prompt, salt: str, now: float) -> bool:
-        """Returns whether a prompt may be saved now, and counts the save."""
+        """Returns whether a prompt may be saved now, and counts the save.
+
+        Args:
+            prompt: The prompt.
+            salt: Cache salt of its parts.
+            now: Seconds on the router's clock.
+        """
         unshared_tokens = prompt.tokens - prompt.shared_tokens
         if (
             prompt.shared_tokens < MIN_SAVE_TOKENS
