--- a/features/adapter.feature
+++ b/features/adapter.feature
@@ -1,8 +1,8 @@
 Feature: The platform's messages
 
   Scenario: A configuration is decoded once, into the project's types
-    Guards against wire names decoded into the wrong field: several of them have
-    different meanings elsewhere.
+    Guards against a key that is decoded into the wrong field: several keys have
+    other meanings in other messages.
     Given the platform's example configuration
     Then route "r-27eya6u" splits 90 to 10 and times out after 6 s
     And route "r-6sz9frg" is resumable and sends all traffic to "huvo11a"
@@ -68,7 +68,7 @@
 
   Scenario: The settings file is checked and unknown fields are ignored
     Guards against a process that starts with missing or invalid settings.
-    Given the platform's settings of a core machine
+    Given the platform's settings of a core instance
     Then the member has 3 seeds, 5 voters and a lease of 3.5 s
     And a settings file without "portRange" is refused
     And a settings file with "portRange" set to "many" is refused
--- a/features/proxy.feature
+++ b/features/proxy.feature
@@ -1,8 +1,8 @@
 Feature: Proxied requests
 
   Scenario Outline: A call that may run once is sent once
-    Guards against a booking that runs twice, and against a 503, which promises
-    that it has not run, when its outcome is unknown.
+    Guards against a booking that runs twice, and against a 503 for a booking
+    that may have run: a 503 promises that it has not.
     Given a proxied runner that <does>
     And a proxied runner that answers
     When a caller sends a request that may run once
@@ -153,9 +153,9 @@
       | whose lease has ended                   | 503    | 0.0   | 0.2  |
 
   Scenario: Ruined answers are never taken for whole ones
-    Guards against truncated, misattributed, misframed or garbled answers that
-    reach a caller as a success, and against a connection that is reused after
-    such an answer.
+    Guards against answers that are truncated, wrongly framed, garbled or meant
+    for another request and reach a caller as a success, and against a
+    connection that is reused after such an answer.
     Given a proxied runner that sends malformed answers
     When 150 requests are sent one after the other
     Then each success is the runner's complete answer to its own request
--- a/features/proxy_harness.py
+++ b/features/proxy_harness.py
@@ -32,7 +32,8 @@
 KEY = "key-1"
 # Timeout of one scenario, so that a hang fails instead of blocking the run.
 SCENARIO_TIMEOUT_S = 15.0
-# Start of the router in the past, so that its full retry budget is available.
+# Age of the router; more than the window of its repeat budget, whose full
+# allowance is then available.
 ROUTER_AGE_S = 100.0
 
 # More than half of the requests' time limit of 2 s, so that an attempt which
@@ -247,7 +248,11 @@
 
 @attrs.define
 class RawAnswer:
-    """Bytes that a caller received until the connection was closed or idle."""
+    """Bytes that a caller received until the connection was closed or idle.
+
+    Attributes:
+        data: The bytes; may hold several answers.
+    """
 
     data: bytes
 
@@ -366,8 +371,8 @@
                 Endpoint(
                     *(r.id, "1", f"http://127.0.0.1:{r.port}"),
                     *(EndpointKind.SERVICE, ("desk",)),
-                    # More slots and less distance, so that the first runner
-                    # is chosen first.
+                    # Of endpoints with equal costs the first is chosen. With
+                    # more slots its cost also grows less under load.
                     slots=1000 if r is self.runners[0] else 1,
                     data_centre="near" if r is self.runners[0] else "far",
                 )
@@ -391,7 +396,12 @@
 
 
 async def receive_all(stream, idle_s: float) -> bytes:
-    """Reads until the peer closes or is silent for `idle_s` seconds."""
+    """Reads until the peer closes or, after the first bytes, is silent.
+
+    Args:
+        stream: The connection.
+        idle_s: Time without data, in seconds, after which the peer is silent.
+    """
     found = b""
     limit_s = SCENARIO_TIMEOUT_S
     with contextlib.suppress(anyio.EndOfStream, anyio.BrokenResourceError):
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -130,7 +130,7 @@
 
 
 def is_rejected(read, *arguments) -> bool:
-    """Tells whether a decoder raises `DeploymentError` with its faults."""
+    """Returns whether a decoder raises `DeploymentError` with its faults."""
     try:
         read(*arguments)
     except DeploymentError as exc:
@@ -295,7 +295,7 @@
     assert is_rejected(read_cache_changes, encode(bad))
 
 
-@given("the platform's settings of a core machine")
+@given("the platform's settings of a core instance")
 def load_core_settings(context):
     context.fields = dict(SETTINGS)
 
--- a/features/steps/proxy_steps.py
+++ b/features/steps/proxy_steps.py
@@ -169,7 +169,7 @@
 
 
 def stream_body(context) -> bytes:
-    """Joins the chunks of a streamed answer."""
+    """Joins the chunks of a streamed answer that hold complete events."""
     return b"".join(
         re.findall(
             rb"[0-9a-f]+\r\n((?:id: .*?\n\n)+)\r\n", context.answer.body, 16
