--- a/features/proxy_harness.py
+++ b/features/proxy_harness.py
@@ -32,8 +32,9 @@
 KEY = "key-1"
 # Timeout of one scenario, so that a hang fails instead of blocking the run.
 SCENARIO_TIMEOUT_S = 15.0
-# Start of the router in the past, so that its full retry budget is available.
-LONG_AGO_S = 100.0
+# Age of the router; more than the window of its repeat budget, whose full
+# allowance is then available.
+ROUTER_AGE_S = 100.0
 
 # More than half of the requests' time limit of 2 s, so that an attempt which
 # must leave time for a retry would time out.
@@ -247,7 +248,11 @@
 
 @attrs.define
 class RawAnswer:
-    """Bytes that a caller received until the connection was closed or idle."""
+    """Bytes that a caller received until the connection was closed or idle.
+
+    Attributes:
+        data: The bytes; may hold several answers.
+    """
 
     data: bytes
 
@@ -269,14 +274,14 @@
 
 
 def request(
-    kind: str = "once",
+    route_name: str = "once",
     extra: str = "",
     body: bytes = b"",
     request_id: str = "r1",
 ) -> bytes:
-    """Builds a caller's request to the route named `kind`."""
+    """Builds a caller's request to the route named `route_name`."""
     head = (
-        f"POST /{kind}/x HTTP/1.1\r\nHost: {HOST}\r\n"
+        f"POST /{route_name}/x HTTP/1.1\r\nHost: {HOST}\r\n"
         f"X-Knapweedarch-Request-Id: {request_id}\r\n"
         f"Authorization: Token {KEY}\r\nX-Knapweedarch-Deadline-Ms: 2000\r\n"
         f"{extra}Content-Length: {len(body)}\r\n\r\n"
@@ -338,7 +343,7 @@
             index=PartsIndex(),
             limits=RepeatLimits(1.0, 100.0, 10.0),
             may_start=lambda: self.refusal,
-            started_at=clock.now() - LONG_AGO_S,
+            started_at=clock.now() - ROUTER_AGE_S,
         )
         self.gateway = ProxyGateway(
             *(PlatformDialect(), self.attempts, clock, self.metrics),
@@ -366,8 +371,8 @@
                 Endpoint(
                     *(r.id, "1", f"http://127.0.0.1:{r.port}"),
                     *(EndpointKind.SERVICE, ("desk",)),
-                    # More slots and less distance, so that the first runner
-                    # is chosen first.
+                    # Of endpoints with equal costs the first is chosen. With
+                    # more slots its cost also grows less under load.
                     slots=1000 if r is self.runners[0] else 1,
                     data_centre="near" if r is self.runners[0] else "far",
                 )
@@ -391,7 +396,12 @@
 
 
 async def receive_all(stream, idle_s: float) -> bytes:
-    """Reads until the peer closes or is silent for `idle_s` seconds."""
+    """Reads until the peer closes or, after the first bytes, is silent.
+
+    Args:
+        stream: The connection.
+        idle_s: Time without data, in seconds, after which the peer is silent.
+    """
     found = b""
     limit_s = SCENARIO_TIMEOUT_S
     with contextlib.suppress(anyio.EndOfStream, anyio.BrokenResourceError):
@@ -412,7 +422,9 @@
             OutboundPool(Clock()) as pool,
             anyio.create_task_group() as group,
         ):
-            site = ProxyFixture(group, pool)
-            site.port = await group.start(site.server.serve, "127.0.0.1", 0)
-            yield site
+            fixture = ProxyFixture(group, pool)
+            fixture.port = await group.start(
+                fixture.server.serve, "127.0.0.1", 0
+            )
+            yield fixture
             group.cancel_scope.cancel()
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -130,7 +130,7 @@
 
 
 def is_rejected(read, *arguments) -> bool:
-    """Tells whether a decoder raises `DeploymentError` with its faults."""
+    """Returns whether a decoder raises `DeploymentError` with its faults."""
     try:
         read(*arguments)
     except DeploymentError as exc:
@@ -165,10 +165,10 @@
     assert [s.service for s in route.split] == [service]
 
 
-@then('the store holds {tokens:d} tokens in "{zone}"')
-def check_store(context, tokens, zone):
+@then('the store holds {tokens:d} tokens in "{data_centre}"')
+def check_store(context, tokens, data_centre):
     (store,) = context.deployment.stores
-    assert (store.memory_tokens, store.data_centre) == (tokens, zone)
+    assert (store.memory_tokens, store.data_centre) == (tokens, data_centre)
 
 
 @then('customer "{name}" holds {count:d} keys and is isolated')
@@ -295,7 +295,7 @@
     assert is_rejected(read_cache_changes, encode(bad))
 
 
-@given("the platform's settings of a core machine")
+@given("the platform's settings of a core instance")
 def load_core_settings(context):
     context.fields = dict(SETTINGS)
 
--- a/knapweedarch/proxy_gateway.py
+++ b/knapweedarch/proxy_gateway.py
@@ -18,12 +18,12 @@
 from knapweedarch.metrics import Metrics
 from knapweedarch.models import RefusalReason, RequestEnd
 from knapweedarch.proxy_attempts import Attempts
-from knapweedarch.proxy_calls import Call, retry_after_header
+from knapweedarch.proxy_calls import ProxyCall, retry_after_header
 from knapweedarch.proxy_streams import StreamRelay
 from knapweedarch.proxy_unary import serve_unary
 from knapweedarch.timers import Clock
 
-# The final answer is sent this long before the caller's deadline.
+# The final answer is due this long before the time limit of the request ends.
 ANSWER_MARGIN_S = 0.03
 
 # A process that has just started gets its first lease within about a second.
@@ -41,8 +41,9 @@
     """Answers the requests of callers.
 
     Attributes:
-        ready: Whether a configuration has been set.
-        started: Set when requests may be served for the first time.
+        ready: Whether a deployment configuration has been set.
+        started: Set once requests may be served for the first time; until
+            then requests wait a moment for the first lease.
     """
 
     def __init__(
@@ -87,7 +88,7 @@
         match self._admit(req, options):
             case RefusalReason() as reason:
                 await self._refuse(options, responder, reason)
-            case Call() as call:
+            case ProxyCall() as call:
                 await self._serve(call, responder)
 
     async def _wait_for_first_lease(self, options: CallerOptions) -> None:
@@ -98,7 +99,7 @@
         with anyio.move_on_after(wait_s):
             await self.started.wait()
 
-    async def _serve(self, call: Call, responder: Responder) -> None:
+    async def _serve(self, call: ProxyCall, responder: Responder) -> None:
         end = RequestEnd.CALLER_LEFT
         try:
             if call.route.streams:
@@ -114,8 +115,8 @@
 
     def _admit(
         self, req: Request, options: CallerOptions
-    ) -> Call | RefusalReason:
-        """Resolves route and customer; returns the reason of a refusal."""
+    ) -> ProxyCall | RefusalReason:
+        """Resolves route, customer and service, or returns the refusal."""
         if reason := self._may_start():
             return reason
         host = req.header(b"host").decode("latin-1").partition(":")[0]
@@ -129,7 +130,7 @@
                 return RefusalReason.UNKNOWN_KEY
         name = self._table.choose_service(route, self._random.random())
         limit_s = min(route.timeout_s, options.limit_s or route.timeout_s)
-        return Call(
+        return ProxyCall(
             req=req,
             options=options,
             route=route,
--- a/knapweedarch/proxy_streams.py
+++ b/knapweedarch/proxy_streams.py
@@ -17,11 +17,17 @@
     read_full_answer,
     run_attempt,
 )
-from knapweedarch.proxy_calls import Call, ExecutionStatus, Failure, remaining_s
+from knapweedarch.proxy_calls import (
+    ExecutionStatus,
+    Failure,
+    ProxyCall,
+    remaining_s,
+)
 
-# A resumable stream without an event for this long is resumed at another
-# runner. Callers time out after 2 s or more. The limit for the first event is a
-# multiple of the route's latency goal, that for later ones of its event gap.
+# Limits of the time without data, after which a resumable stream is resumed at
+# another runner: before the first event as a multiple of the route's latency
+# goal, after it as a multiple of the route's event gap. Callers time out after
+# 2 s or more.
 FIRST_EVENT_LIMIT_GOALS = 3.5
 EVENT_LIMIT_GAPS = 3.0
 
@@ -29,7 +35,9 @@
 class StreamRelay:
     """Relays one stream to the caller, resuming it at other runners."""
 
-    def __init__(self, attempts: Attempts, call: Call, responder: Responder):
+    def __init__(
+        self, attempts: Attempts, call: ProxyCall, responder: Responder
+    ):
         self._attempts = attempts
         self._call = call
         self._responder = responder
@@ -39,7 +47,7 @@
         self._status = 0
 
     async def serve(self) -> RequestEnd:
-        """Relays the stream to its end or sends an error.
+        """Relays the stream to its end, sends an error or aborts the stream.
 
         Raises:
             CallerGoneError: The caller disconnected before the end.
@@ -76,7 +84,7 @@
                     not call.route.resumable
                 ):
                     break
-            if not attempts.may_retry(call):
+            if not attempts.may_repeat(call):
                 break
         if self._responder.started:
             self._responder.abort()
@@ -88,7 +96,7 @@
         return RequestEnd.REFUSED if is_refusal else RequestEnd.FAILED
 
     async def _attempt(self, endpoint: Endpoint) -> Failure | None:
-        """Relays from one runner; returns None if no retry is needed."""
+        """Relays from one runner; returns None once the caller is answered."""
         limit_s = remaining_s(self._call, self._attempts.clock)
         return await run_attempt(
             *(self._attempts, self._call, endpoint, limit_s),
@@ -114,7 +122,7 @@
         return None
 
     async def _read_head(self, exchange: Exchange) -> AnswerHead:
-        limit_s = self._silence_limit()
+        limit_s = self._silence_limit_s()
         with anyio.move_on_after(limit_s):
             return await exchange.answer()
         raise ExchangeError(
@@ -123,13 +131,14 @@
             True,
         )
 
-    def _silence_limit(self) -> float | None:
-        """Returns the time without data after which a runner is given up.
+    def _silence_limit_s(self) -> float | None:
+        """Returns the time without data after which an attempt is ended.
 
-        It is None if the stream cannot be resumed at another runner.
+        It is at least 0.5 s, and None if the stream may not be resumed at
+        another runner.
         """
         route = self._call.route
-        if not route.resumable or not self._attempts.may_retry(self._call):
+        if not route.resumable or not self._attempts.may_repeat(self._call):
             return None
         if self._event_count:
             return max(route.event_gap_s * EVENT_LIMIT_GAPS, 0.5)
@@ -138,7 +147,7 @@
     async def _forward_error(
         self, endpoint: Endpoint, exchange: Exchange, head: AnswerHead
     ) -> Failure | None:
-        """Forwards a runner's error response unless the stream has started."""
+        """Forwards a runner's error answer unless the stream has started."""
         answer = await read_full_answer(exchange, head)
         self._attempts.chooser.record_failure(
             endpoint, self._attempts.clock.now()
@@ -176,21 +185,21 @@
             events = splitter.feed(part)
             if events.data:
                 scope.record_prompt_read()
-                self._note_events(endpoint, events.count, events.last_id)
+                self._record_events(endpoint, events.count, events.last_id)
                 await self._responder.write(events.data)
         if rest := splitter.rest():
             await self._responder.write(rest)
         await self._responder.end()
 
     async def _read(self, exchange: Exchange) -> bytes | None:
-        limit_s = self._silence_limit()
+        limit_s = self._silence_limit_s()
         with anyio.move_on_after(limit_s):
             return await exchange.read()
         raise ExchangeError(
             RetryReason.STREAM_SILENT, f"no data within {limit_s} s", True
         )
 
-    def _note_events(
+    def _record_events(
         self, endpoint: Endpoint, count: int, last_id: str
     ) -> None:
         now = self._attempts.clock.now()
