--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -323,7 +323,7 @@
     "{count:d} schedules of crashes, lost leases, retries and duplicated "
     "commands run"
 )
-def run_faultless(context, count):
+def run_call_schedules(context, count):
     run_schedules(context, count)
 
 
--- a/features/steps/lease_schedule_steps.py
+++ b/features/steps/lease_schedule_steps.py
@@ -151,7 +151,7 @@
         item = (self._now + delay, next(self._sequence), step, args)
         heapq.heappush(self._events, item)
 
-    def _defer_if_frozen(self, process: Process, step, *args) -> bool:
+    def _is_running_else_defer(self, process: Process, step, *args) -> bool:
         """Returns whether the process is running; otherwise defers the step."""
         if self._now < process.frozen_until:
             self._schedule(process.frozen_until - self._now, step, *args)
@@ -209,7 +209,7 @@
                 router.replies_lost_until = until + 5.0
 
     def _renew(self, router: FakeRouter) -> None:
-        if not self._defer_if_frozen(router, self._renew, router):
+        if not self._is_running_else_defer(router, self._renew, router):
             return
         renewal = (router.starts, router.clock(self._now), router.applied)
         if self._now >= router.partitioned_until:
@@ -235,7 +235,7 @@
     def _receive_grant(
         self, router: FakeRouter, renewal: tuple, index: int, duration_s: float
     ) -> None:
-        if not self._defer_if_frozen(
+        if not self._is_running_else_defer(
             router, self._receive_grant, router, renewal, index, duration_s
         ):
             return
@@ -246,7 +246,7 @@
             router.lease.granted(requested_at, duration_s, now)
 
     def _work(self, router: FakeRouter) -> None:
-        if not self._defer_if_frozen(router, self._work, router):
+        if not self._is_running_else_defer(router, self._work, router):
             return
         holds = router.lease.holds(router.clock(self._now))
         if holds and router.applied < self._in_force:
@@ -400,7 +400,7 @@
 def race(seed, state_class=ControlState):
     """Operators send, lose answers and retry, also after commands of others."""
     rng, state = random.Random(seed), state_class()
-    sent, first, accepted, texts = [], {}, {}, [""]
+    sent, first_answers, accepted, texts = [], {}, {}, [""]
     for n in range(30):
         if sent and rng.random() < 0.5:
             command = rng.choice(sent)
@@ -410,7 +410,7 @@
             sent.append(command)
         before = state.rules_text
         answer = apply(state, command)
-        known = first.setdefault(command.request_id, answer)
+        known = first_answers.setdefault(command.request_id, answer)
         assert answer == known, f"{command} got {answer} after {known}"
         if isinstance(answer, RulesAccepted):
             file = accepted.setdefault(command.base_version, command.text)
@@ -475,7 +475,7 @@
         super()._put_endpoint(endpoint, False, superseded)
 
 
-def endpoint_announced(name, incarnation):
+def build_endpoint(name, incarnation):
     return Endpoint(
         *(name, f"{name}/{incarnation}", "http://127.0.0.1:1"),
         *(EndpointKind.SERVICE, ("desk",)),
@@ -496,14 +496,14 @@
             ):
                 retired.add(name)
             case 2 if rng.random() < 0.3:
-                endpoint = endpoint_announced(name, starts[name])
+                endpoint = build_endpoint(name, starts[name])
                 apply(state, Announce(endpoint, True, f"order {n}"))
                 retired.discard(name)
             case _:
                 if sent_announcements and rng.random() < 0.3:
                     announced = rng.choice(sent_announcements)
                 else:
-                    endpoint = endpoint_announced(name, starts[name])
+                    endpoint = build_endpoint(name, starts[name])
                     announced = Announce(endpoint)
                     sent_announcements.append(announced)
                 apply(state, announced)
@@ -551,7 +551,7 @@
             rng.choice(
                 (
                     PutRules(f"order {n}", rng.randrange(3), f"file {n}"),
-                    Announce(endpoint_announced(name, rng.randrange(3))),
+                    Announce(build_endpoint(name, rng.randrange(3))),
                     Retire(f"order {n}", name),
                     Reserve(key, b"", holder, n * 10_000.0),
                     Settle(key, holder, None),
--- a/knapweedarch/leader.py
+++ b/knapweedarch/leader.py
@@ -256,7 +256,7 @@
         except ReplicaError:
             return self._redirect()
 
-    async def drop_silent(self) -> None:
+    async def mark_silent(self) -> None:
         """Marks endpoints whose heartbeats have stopped as silent."""
         if self._can_serve():
             await self.endpoints.mark_silent()
--- a/knapweedarch/member.py
+++ b/knapweedarch/member.py
@@ -130,7 +130,7 @@
         """
         return await self._control.request(message, timeout_s)
 
-    def set_seeds(self, seeds: Iterable[Address]) -> None:
+    def add_seeds(self, seeds: Iterable[Address]) -> None:
         """Adds the seeds of changed settings."""
         self._control.add_members(seed_addresses(seeds))
 
@@ -219,7 +219,7 @@
             log("members_changed", members=[a.name for a in addresses])
 
     def _check_silence(self, now: float) -> None:
-        self._group.start_soon(self._leader.drop_silent)
+        self._group.start_soon(self._leader.mark_silent)
 
     async def prepare_stop(self) -> None:
         """Transfers the leadership to another member before a planned stop."""
--- a/knapweedarch/proxy.py
+++ b/knapweedarch/proxy.py
@@ -159,7 +159,7 @@
             group.cancel_scope.cancel()
         self.stopped.set()
 
-    def set_seeds(self, seeds: Sequence[Address]) -> None:
+    def add_seeds(self, seeds: Sequence[Address]) -> None:
         """Adds the seeds of changed settings to the known members."""
         self._control.add_members(seed_addresses(seeds))
 
--- a/knapweedarch/records.py
+++ b/knapweedarch/records.py
@@ -10,7 +10,7 @@
 MAX_RECORDS = 50_000
 # Bounds memory and the time that a snapshot takes; one answer is at most
 # 64 KiB.
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
+MAX_TOTAL_ANSWER_BYTES = 64 * 1024 * 1024
 
 
 class RecordStatus(str, enum.Enum):
@@ -138,7 +138,7 @@
             return RecordFound(record)
         if (
             len(self.records) >= MAX_RECORDS
-            or self._answer_bytes >= MAX_ANSWER_BYTES
+            or self._answer_bytes >= MAX_TOTAL_ANSWER_BYTES
         ):
             return TableFull()
         self.records[command.record_key] = Record(
