--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -1,11 +1,14 @@
 Feature: Calls that may run at most once
 
   Scenario: A key runs at most once under faults
+    Guards against a call that runs twice, is sent after its outcome was
+    recorded as unknown, or gets an answer other than that of its run.
     When 1500 schedules of crashes, lost leases, retries and duplicated commands run
     Then every at-most-once guarantee held
     And at least 1000 calls ran and 300 outcomes were unknown
 
   Scenario Outline: The schedules find a rule that is left out
+    Guards against schedules that pass although a rule is missing.
     When up to 1500 such schedules run in which <fault>
     Then an at-most-once guarantee was violated
 
@@ -19,21 +22,26 @@
       | a call is sent before it is reserved    |
 
   Scenario: Records are kept for 24 hours
+    Guards against records that are dropped too early or never.
     Given a call that ran at 0 h
     Then a retry at 23.9 h gets its answer
     And a retry at 24.1 h is a new call
 
   Scenario: A full table refuses new keys and keeps old ones
+    Guards against evicting a record whose call could then run again.
     Given a table full of records reserved at 1 h
     Then a new key at 24 h is refused and a known key is found
     And a new key at 25.1 h is reserved
 
   Scenario: A leader whose clock is ahead drops no record
+    Guards against a call that runs again because the clocks of two leaders
+    differ.
     Given a call that ran at 0 h
     When a leader whose clock is 720 h ahead adds a timestamp to the retry 0.1 h later
     Then the retry gets the answer
 
   Scenario: With bare clocks as stamps the call would run again
+    Guards against a check of the timestamps that passes with any clock.
     Given a call that ran at 0 h
     When the timestamp of the retry is taken from a clock that is 720 h ahead
     Then the retry is a new call
--- a/features/control.feature
+++ b/features/control.feature
@@ -13,7 +13,8 @@
     And another command under request id "a" is refused as RequestIdReused
 
   Scenario: A full endpoint table makes place for new endpoints
-    Guards against a table that fills up with endpoints that left permanently.
+    Guards against a table full of endpoints that have left, which accepts no
+    new ones.
     Given a full endpoint table in which two endpoints left
     When a new endpoint announces itself
     Then it is accepted and the endpoint that left first is gone
@@ -21,7 +22,7 @@
   Scenario: A runner whose models want different versions is not reloaded again
     Guards against a runner that alternates between two versions forever.
     Given a runner that serves two models and rules that set w2 and w3 for them
-    Then it gets no more than 1 load order
+    Then it gets exactly 1 load order
 
   Scenario: A member refuses rules that do not parse
     Guards against committing rules that no router can apply.
@@ -40,7 +41,7 @@
     Given a router that knows an active endpoint
     Then its announcement is not forwarded
     But its announcement with another incarnation is forwarded
-    And its announcement as leaving is forwarded until the members have it
+    And its announcement as leaving is forwarded until the members have replied
 
   Scenario: A request whose caller leaves as it is decided holds no slot
     Guards against leaking the slots of runners and customers.
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -38,7 +38,7 @@
 
 
 class FreeOnAbandon(ControlState):
-    """Frees the keys of a router whose lease expired."""
+    """Frees all keys with an unknown outcome when a router's lease expired."""
 
     def _abandon(self, incarnation):
         result = super()._abandon(incarnation)
@@ -82,7 +82,8 @@
     """A router; `lease` is the code under test.
 
     Attributes:
-        no_renewal_until: Time until which it does not renew its lease.
+        no_renewal_until: Time in seconds until which it does not renew its
+            lease.
         frozen: Whether it also sends no calls until then.
     """
 
@@ -101,6 +102,14 @@
 class AtMostOnceSchedule:
     """Callers, two routers, the log and a service in virtual time.
 
+    Args:
+        seed: Seed of the schedule.
+        state: Class of the state.
+        one_holder: Whether all calls of a router have the same holder.
+        any_epoch: Whether a call is also sent in a later lease epoch than that
+            of its reservation.
+        unreserved: Whether a call is also sent before it is reserved.
+
     Attributes:
         outcomes: Number of outcomes reported to callers, by kind.
         runs: Number of runs at the service, by key.
@@ -216,7 +225,7 @@
         return result
 
     def _abandon_if_expired(self, command, result):
-        """Ends a reservation whose router has no lease, as the leader does."""
+        """Abandons a reservation without a lease, as the leader does."""
         match result:
             case RecordFound(Record(holder=holder)) if (
                 result.record.status is RecordStatus.RESERVED
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -54,7 +54,7 @@
 
 
 def apply(machine, command):
-    """Applies a command to a control state."""
+    """Applies a command to a control state; returns the decoded result."""
     data = machine.apply(state.COMMANDS.encode(command))
     return state.RESULTS.decode(data)
 
@@ -158,7 +158,7 @@
     )
 
 
-@then("it gets no more than {count:d} load order")
+@then("it gets exactly {count:d} load order")
 def load_orders(context, count):
     rollout, order_count, runner = Rollout(), 0, context.runner
     for step in range(100):
@@ -244,7 +244,7 @@
     assert context.endpoints.needs_announcement(changed)
 
 
-@then("its announcement as leaving is forwarded until the members have it")
+@then("its announcement as leaving is forwarded until the members have replied")
 def leaving_status_forwarded(context):
     leaving = attrs.evolve(context.known, status=EndpointStatus.LEAVING)
     context.endpoints.update([state.EndpointEntry(leaving, 2)])
--- a/features/steps/lease_schedule_steps.py
+++ b/features/steps/lease_schedule_steps.py
@@ -31,6 +31,8 @@
 )
 
 DURATION_S = 12.0
+# Two clocks with this error in opposite directions differ in rate by 4.9%,
+# slightly less than `MAX_CLOCK_DRIFT`.
 MAX_RATE_ERROR = 0.024
 POLL_S = 0.05
 WORK_S = 0.06
@@ -89,7 +91,7 @@
     """Clock and faults of one process.
 
     Attributes:
-        rate: Rate of its clock.
+        rate: Rate of its clock relative to true time.
         frozen_until: End of its freeze, in true time.
         partitioned_until: End of the loss of all its messages, in true time.
         replies_lost_until: End of the loss of replies to it, in true time.
@@ -276,12 +278,18 @@
 
 
 LEASE_FAULTS = {
-    "a new leader does not wait": {"table": NoWaitTable},
-    "the lease counts from receipt of the grant": {"lease": ReceiptTimedLease},
+    "a new leader does not wait for earlier grants to expire": {
+        "table": NoWaitTable
+    },
+    "a router counts its lease from the receipt of the grant": {
+        "lease": ReceiptTimedLease
+    },
     "a change is answered as soon as it is committed": {
         "table": CommitOnlyTable
     },
-    "the leader counts 2.0 s for a slower clock": {"table": NoDriftMarginTable},
+    "the leader adds no margin for clock drift to a lease of 2.0 s": {
+        "table": NoDriftMarginTable
+    },
 }
 
 
@@ -398,7 +406,10 @@
 
 
 def race(seed, state_class=ControlState):
-    """Operators send, lose answers and retry, also after commands of others."""
+    """Runs operators who submit rule files and retry after lost answers.
+
+    A retry may come after other operators' commands.
+    """
     rng, state = random.Random(seed), state_class()
     sent, first_answers, accepted, texts = [], {}, {}, [""]
     for n in range(30):
@@ -483,7 +494,10 @@
 
 
 def retire_schedule(seed, state_class=ControlState):
-    """Endpoints restart and announce, also late; operators retire them."""
+    """Runs endpoints that restart and operators who retire them.
+
+    Announcements may be repeated late.
+    """
     rng, state = random.Random(seed), state_class()
     starts, retired, sent_announcements = {"e1": 0, "e2": 0}, set(), []
     for n in range(40):
@@ -520,8 +534,8 @@
 
 
 @when(
-    "up to {count:d} schedules of announcements run in which retirement is "
-    "not kept"
+    "up to {count:d} schedules of announcements run in which retirements are "
+    "not stored"
 )
 def run_faulty_retirements(context, count):
     run_seeds(
@@ -533,7 +547,7 @@
 
 
 class AnswerlessSnapshotState(ControlState):
-    """Omits the stored answers from its snapshots."""
+    """Ignores the stored answers when it restores a snapshot."""
 
     def restore(self, data: bytes) -> None:
         """Restores all but the answers."""
--- a/knapweedarch/control.py
+++ b/knapweedarch/control.py
@@ -105,7 +105,7 @@
         self._connecting = anyio.Lock()
 
     def set_members(self, members: Sequence[MemberAddress]) -> None:
-        """Replaces the addresses of the members."""
+        """Replaces the addresses of the members; ignores an empty sequence."""
         if not members or list(members) == list(self._members.values()):
             return
         self._members = {m.name: m for m in members}
@@ -138,8 +138,8 @@
             in_force: See `Submit`.
 
         Raises:
-            ControlError: `unreachable` (nothing was sent), `unknown_outcome`
-                or `refused`.
+            ControlError: `unreachable` (no member processed the command),
+                `unknown_outcome` or `refused`.
         """
         message = Submit(COMMANDS.encode(command), in_force)
         reply = await self.request(message, timeout_s)
@@ -156,6 +156,10 @@
     async def request(self, message: object, timeout_s: float) -> object:
         """Sends a message to the leader until it answers.
 
+        Args:
+            message: A message of `control_messages`.
+            timeout_s: Maximum wait in seconds.
+
         Raises:
             ControlError: See `submit`.
         """
@@ -181,7 +185,8 @@
                     case Redirect():
                         self._follow_redirect(reply)
                     case Refused(reason="unknown_outcome"):
-                        # The next leader knows the outcome.
+                        # A retry can still obtain the outcome, such as from
+                        # the next leader.
                         outcome_unknown = True
                     case Refused(reason=reason, message=text):
                         raise ControlError(reason, text)
@@ -250,8 +255,8 @@
         """Forms the first group from blank members.
 
         Raises:
-            ControlError: A member belongs to another group or does not answer,
-                or all members already belong to a group.
+            ControlError: A member belongs to another group, has another name
+                or does not answer, or all members already belong to a group.
         """
         descriptions = [await self._describe(member) for member in members]
         group = Form(
--- a/knapweedarch/control_messages.py
+++ b/knapweedarch/control_messages.py
@@ -44,8 +44,8 @@
     """Grants a lease and brings the changes that the router lacks.
 
     Attributes:
-        duration_s: Duration of the lease, counted from when the renewal was
-            sent.
+        duration_s: Duration of the lease on the router's clock, counted from
+            when the renewal was sent.
         applied: Log index that the content reflects.
         rules_version: Current version of the rules.
         rules_text: The rule file, or None if the router has it.
@@ -71,7 +71,11 @@
 
 @attrs.frozen
 class Changed:
-    """Asks a router to renew now because the state changed."""
+    """Asks a router to renew now because the state changed.
+
+    Attributes:
+        index: Log index of the change.
+    """
 
     index: int
 
@@ -161,7 +165,10 @@
 
 @attrs.frozen
 class Join:
-    """Requests to join the group; sent by a member that is in no group."""
+    """Requests to join the group.
+
+    Sent by a member that is in no group or knows no leader.
+    """
 
     name: str
     identity: str
@@ -259,7 +266,7 @@
 
 @attrs.frozen
 class Describe:
-    """Requests the identity of any member."""
+    """Requests the identity of the receiving member, leader or not."""
 
 
 @attrs.frozen
--- a/knapweedarch/leader.py
+++ b/knapweedarch/leader.py
@@ -56,6 +56,16 @@
 class Leader:
     """Serves routers and operators while this member is the leader.
 
+    Args:
+        name: Name of this member.
+        log_replica: Replica of the log.
+        state: State that the log is applied to.
+        clock: Time source.
+        wake: Called after a command was appended to the log.
+        lease_s: Duration of a router's lease in seconds.
+        silent_s: Time in seconds without a heartbeat after which an endpoint
+            is marked silent; 0 if endpoints send no heartbeats.
+
     Attributes:
         applied: Index of the last entry applied to the state.
         endpoints: Registry of the endpoints that send heartbeats.
@@ -158,7 +168,7 @@
                 self._routers.pop(link, None)
 
     def update_role(self) -> None:
-        """Starts or stops acting as the leader with the replica's role."""
+        """Starts or stops acting as the leader after a change of role."""
         is_leader = self._replica.leader_since is not None
         if is_leader and self._active_term != self._replica.term:
             self._leases = LeaseTable(self._replica.leader_since, self._lease_s)
@@ -309,8 +319,8 @@
                 try:
                     await run_steps(parse_steps(text))
                 except RuleError as exc:
-                    # Every router would fail to apply a faulty rule file
-                    # once it is committed.
+                    # Once a faulty rule file is committed, no router can apply
+                    # it, and so none can renew its lease.
                     reason = "; ".join(exc.faults[:MAX_REPORTED_FAULTS])
                     return control.Refused("refused", reason)
             case TakeOrders() if self._orders_held_by_other(command):
@@ -389,9 +399,10 @@
         return False
 
     async def _wait_until_in_force(self) -> bool:
-        """Waits until each router has applied the log up to `applied`.
+        """Waits until each router has applied the log or has no lease.
 
-        Returns False at a timeout or a change of the leader.
+        Returns whether this came about within `IN_FORCE_TIMEOUT_S` and under
+        the same leader. The log counts up to `applied` at the time of the call.
         """
         index, term = self.applied, self._replica.term
         with anyio.move_on_after(IN_FORCE_TIMEOUT_S):
--- a/knapweedarch/lease_keeper.py
+++ b/knapweedarch/lease_keeper.py
@@ -19,7 +19,7 @@
 
 
 class LeaseKeeper:
-    """Renews the lease every `RENEW_INTERVAL_S` and after a change.
+    """Renews the lease at least every `RENEW_INTERVAL_S` and after a change.
 
     Attributes:
         lease: The lease.
@@ -27,11 +27,13 @@
         on_rules: Called with version and text of new rules; raises
             `ControlError` if they cannot be applied.
         on_endpoints: Called with changed endpoints.
-        on_routers: Called with the number of routers that hold a lease.
+        on_routers: Called with the number of routers that hold a lease when
+            it changes.
         deployment_version: Version of the routing configuration last applied.
         on_deployment: Called with a new routing configuration.
-        on_weights: Called with the requested weights versions, by model.
-        on_members: Called with the addresses of the members.
+        on_weights: Called with the requested weights versions, by model, when
+            they change.
+        on_members: Called with the addresses of the members in each grant.
         on_granted: Called after each grant.
     """
 
@@ -97,7 +99,7 @@
                 await self._renewal_due.wait()
 
     async def _renew(self) -> bool:
-        """Renews the lease; returns whether the grant brought changes."""
+        """Renews the lease; returns whether changes are yet to be confirmed."""
         sent_at = self._clock.now()
         grant = await self._control.request(
             Renew(
--- a/knapweedarch/leases.py
+++ b/knapweedarch/leases.py
@@ -10,12 +10,22 @@
 
 LEASE_S = 2.0
 RENEW_INTERVAL_S = 0.5
+# Fraction by which the leader's clock may run faster than a router's.
 MAX_CLOCK_DRIFT = 0.05
+# Time on the leader's clock after which a lease that it granted must have
+# expired on the router's clock.
 GRANT_S = LEASE_S * (1 + MAX_CLOCK_DRIFT)
 
 
 @attrs.define
 class _Grant:
+    """Latest grant to a router.
+
+    Attributes:
+        until: Expiry on the leader's clock, in seconds.
+        applied: Log index that the router has applied.
+    """
+
     until: float
     applied: int
 
@@ -23,8 +33,10 @@
 class LeaseTable:
     """Leases granted by one leader in one term.
 
+    All times are in seconds on the leader's clock.
+
     Args:
-        leader_since: Start of the leader's term, in seconds.
+        leader_since: Time at which the leader was elected.
         lease_s: Duration of a lease in seconds; equal on every member.
     """
 
@@ -85,7 +97,10 @@
         return True
 
     def waiting_for(self, index: int, now: float) -> list[str]:
-        """Lists routers with an unexpired lease that lack `index`."""
+        """Lists routers that have not applied `index` but still have a lease.
+
+        Also removes the expired grants.
+        """
         expired = [h for h, g in self._grants.items() if g.until <= now]
         for holder in expired:
             del self._grants[holder]
@@ -109,8 +124,8 @@
 
     Attributes:
         until: Expiry of the lease on the holder's clock, in seconds.
-        epoch: Number of times that the lease was granted after it had
-            expired. A right acquired in one epoch may belong to another
+        epoch: Number of grants that found the lease expired, including the
+            first one. A right acquired in one epoch may belong to another
             router in the next.
     """
 
@@ -127,6 +142,12 @@
         """Extends the lease, counted from when the renewal was sent.
 
         A delayed grant therefore extends the lease by less, or not at all.
+
+        Args:
+            requested_at: Time at which the renewal was sent, on the holder's
+                clock, in seconds.
+            duration_s: Duration of the lease in seconds.
+            now: Current time on the holder's clock, in seconds.
         """
         if now >= self.until:
             self.epoch += 1
--- a/knapweedarch/member.py
+++ b/knapweedarch/member.py
@@ -36,7 +36,11 @@
 
 
 class Member:
-    """A control member with durable state."""
+    """A control member with durable state.
+
+    Attributes:
+        port: TCP port that the member listens on; 0 before `run`.
+    """
 
     def __init__(
         self,
@@ -73,9 +77,10 @@
             restored,
             seed=int(self._journal.identity, 16),
         )
-        # The commitments of an earlier process of this member end, at the
-        # latest, a fixed time after this process started. Counting from here
-        # would lengthen the wait: imports take a third of that time.
+        # An earlier process of this member may have acknowledged a leader, so
+        # the replica grants no votes for a fixed time after its first tick.
+        # Counting from here instead of from the start of this process would
+        # lengthen the wait: imports take a third of that time.
         self._replica.tick(self._started_at)
         self._leader = Leader(
             *(name, self._replica, self._state, self._clock),
@@ -150,11 +155,18 @@
         return self._replica.term
 
     def leads_until(self) -> float:
-        """Returns the end of the leader lease, or 0.0 if it is not held."""
+        """Returns when this member's leader lease expires.
+
+        The time is in seconds on the member's clock; 0.0 without a lease.
+        """
         return self._replica.leads_until(self._clock.now())
 
     async def _form_or_join(self) -> None:
-        """Forms the group, or joins it if this member is in no group."""
+        """Forms the group, or joins it if this member is in no group.
+
+        A member that knows no leader asks to join as well, since the reply
+        brings the current addresses of the members.
+        """
         while True:
             try:
                 if self._should_form():
@@ -423,7 +435,7 @@
         settings: Settings of the member.
         clock: Time source.
         metrics: Metrics of the process.
-        started_at: Start of the process on the clock; now if None.
+        started_at: Start of the process on `clock`, in seconds; now if None.
 
     Raises:
         JournalError: The journal is corrupt or cannot be opened.
--- a/knapweedarch/records.py
+++ b/knapweedarch/records.py
@@ -14,7 +14,14 @@
 
 
 class RecordStatus(str, enum.Enum):
-    """Status of a call that may run at most once."""
+    """Status of a call that may run at most once.
+
+    Attributes:
+        RESERVED: A router holds the key and may have sent the call.
+        DONE: The answer is recorded.
+        UNKNOWN: The call may have run; it is not sent again while the record
+            is kept.
+    """
 
     RESERVED = "reserved"
     DONE = "done"
@@ -30,7 +37,8 @@
         holder: `incarnation/call` of the router and of the only call in it
             that may be sent.
         status: Status of the call.
-        reserved_at: Timestamp of the reservation in seconds.
+        reserved_at: Timestamp of the reservation in seconds; see
+            `TimestampSource`.
         code: HTTP status of the answer if `DONE`.
         content_type: Media type of the answer if `DONE`.
         answer: Body of the answer if `DONE`.
@@ -53,7 +61,7 @@
         record_key: Customer, service and idempotency key; see `record_key`.
         body_digest: SHA-256 of method, path and body.
         holder: `incarnation/call` of the router and of this call.
-        at: Timestamp of the leader in seconds.
+        at: Timestamp in seconds, set by the leader; see `TimestampSource`.
     """
 
     record_key: str
@@ -113,7 +121,12 @@
 
 @attrs.frozen
 class Settled:
-    """The outcome is recorded."""
+    """The command was processed.
+
+    A `Settle` has no effect if its sender does not hold the reservation, if an
+    answer is already recorded, or if it would free a key whose outcome is
+    unknown.
+    """
 
 
 class RecordTable:
@@ -121,7 +134,8 @@
 
     Attributes:
         records: Records by key, oldest first.
-        last_stamp: Newest timestamp of the log in seconds.
+        last_stamp: Newest timestamp of the log in seconds; see
+            `TimestampSource`.
     """
 
     def __init__(self):
@@ -158,7 +172,10 @@
             self._answer_bytes -= len(self.records.pop(key).answer)
 
     def settle(self, command: Settle) -> Settled:
-        """Records the outcome of a call if its holder reports it."""
+        """Records the outcome of a call if its holder reports it.
+
+        A recorded answer is not replaced.
+        """
         record = self.records.get(command.record_key)
         if (
             record is None
@@ -238,7 +255,11 @@
     leader_since: float
 
     def timestamp(self, now: float) -> float:
-        """Returns the timestamp for a command that is proposed at `now`."""
+        """Returns the timestamp in seconds for a command proposed at `now`.
+
+        Args:
+            now: Time on the leader's clock, in seconds.
+        """
         return self.last_stamp + max(0.0, now - self.leader_since)
 
 
--- a/knapweedarch/router.py
+++ b/knapweedarch/router.py
@@ -129,7 +129,7 @@
         return None
 
     def lease_epoch(self) -> int:
-        """Returns the lease epoch, which changes if the lease has lapsed."""
+        """Returns the lease epoch, which increases after each expiry."""
         return self._keeper.lease.epoch
 
     def customer_for(self, api_key: str) -> CustomerRule | None:
@@ -163,6 +163,9 @@
     async def announce(self, endpoint: Endpoint) -> object | None:
         """Forwards an announcement to the control members if it is new.
 
+        Returns:
+            Result of the command, or None if it was not forwarded.
+
         Raises:
             ControlError: The command was rejected or its outcome is unknown.
         """
@@ -188,7 +191,8 @@
         try:
             rules = await run_steps(parse_steps(text))
         except RuleError as exc:
-            # A router without the current rules must not serve requests.
+            # A router without the current rules must not serve requests: the
+            # error fails the renewal, so the lease expires.
             log("rules_unreadable", version=version, faults=exc.faults)
             raise ControlError("refused", str(exc)) from exc
         self.rules = rules
--- a/knapweedarch/state.py
+++ b/knapweedarch/state.py
@@ -1,8 +1,8 @@
-"""Replicated state machine: rules, endpoints and at-most-once records.
+"""Replicated state machine: rules, endpoints, configuration and records.
 
 Every member applies the same commands in the same order. Nothing in this
 module reads a clock: the leader adds a timestamp to the commands that need
-one, and the timestamp only decides how long records are kept.
+one, and the timestamp only decides how long at-most-once records are kept.
 """
 
 import hashlib
@@ -96,7 +96,7 @@
 
 @attrs.frozen
 class _StoredAnswer:
-    """Result of the first request with a request id, and its digest."""
+    """Digest and encoded result of the first command under a request id."""
 
     order_digest: bytes
     result: bytes
@@ -132,6 +132,9 @@
         deployment: Routing configuration; None if none was accepted yet.
         document: Source text of the routing configuration.
         weights: Highest requested weights version, by model.
+        orders_holder: Incarnation of the router that may send orders to
+            endpoints; empty if none ever could.
+        fencing_number: Fencing number of that router; 0 if none ever could.
     """
 
     def __init__(self):
@@ -148,7 +151,14 @@
         self._answers: OrderedDict[str, _StoredAnswer] = OrderedDict()
 
     def apply(self, data: bytes) -> bytes:
-        """Applies an encoded command; returns the encoded result."""
+        """Applies an encoded command; returns the encoded result.
+
+        A command whose request id has a stored answer is not applied: the same
+        command gets that answer, a different one `RequestIdReused`.
+
+        Raises:
+            CodecError: The command cannot be decoded.
+        """
         command = COMMANDS.decode(data)
         request_id = getattr(command, "request_id", "")
         digest = hashlib.sha256(data).digest() if request_id else b""
@@ -259,9 +269,10 @@
         return EndpointAccepted(self.revision, endpoint.status)
 
     def _make_room(self) -> bool:
-        """Evicts the endpoint that left first if the table is full.
+        """Returns whether there is room for another endpoint.
 
-        Returns False if every endpoint is still in use.
+        If the table is full, this evicts the leaving or silent endpoint whose
+        last change is the oldest.
         """
         if len(self.endpoints) < MAX_ENDPOINTS:
             return True
@@ -309,7 +320,7 @@
 
     @property
     def last_stamp(self) -> float:
-        """Newest timestamp of the log in seconds."""
+        """Newest timestamp of the log in seconds; see `TimestampSource`."""
         return self._records.last_stamp
 
     @property
@@ -349,7 +360,11 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the complete state with a decoded snapshot."""
+        """Replaces the complete state with a decoded snapshot.
+
+        Raises:
+            CodecError: The snapshot cannot be decoded.
+        """
         decoded = _SNAPSHOTS.decode(data)
         self.rules_version = decoded.rules_version
         self.rules_text = decoded.rules_text
@@ -367,7 +382,7 @@
 def is_still_loading(known: Endpoint, announced: Endpoint) -> bool:
     """Returns whether an endpoint has not finished loading weights.
 
-    It keeps announcing itself as active while it loads them.
+    It announces itself as active with its old version while it loads them.
     """
     return (
         known.status is EndpointStatus.LOADING
--- a/knapweedarch/state_commands.py
+++ b/knapweedarch/state_commands.py
@@ -85,7 +85,10 @@
 
 @attrs.frozen
 class NameWeights:
-    """Sets the weights version that the runners of a model must load."""
+    """Sets the weights version that the runners of a model must load.
+
+    A version that is not above the current one changes nothing.
+    """
 
     model: str
     version: int
@@ -139,17 +142,21 @@
 
 @attrs.frozen
 class RulesConflict:
-    """The base version of the rule file is not the current version."""
+    """The base version of the rule file is not the current version.
+
+    Attributes:
+        version: Current version of the rule file.
+    """
 
     version: int
 
 
 @attrs.frozen
 class EndpointAccepted:
-    """The endpoint is registered.
+    """A command for an endpoint was accepted, even if it changed nothing.
 
     Attributes:
-        revision: Revision of the endpoint table.
+        revision: Revision of the endpoint table after the command.
         status: Current status of the endpoint.
     """
 
@@ -159,7 +166,7 @@
 
 @attrs.frozen
 class EndpointUnknown:
-    """No endpoint has this id, or not with this incarnation."""
+    """No endpoint has this id, or it has a different incarnation."""
 
 
 @attrs.frozen
@@ -184,7 +191,7 @@
     """An endpoint in the endpoint table.
 
     Attributes:
-        endpoint: The endpoint as last announced.
+        endpoint: The endpoint as last announced, with its current status.
         revision: Revision of the endpoint table at its last change.
         retired: Whether an operator retired it.
         superseded: Earlier incarnations, newest last. A delayed announcement
