--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -122,12 +122,12 @@
 
 def split_randomly(rng, data: bytes, max_size: int) -> list[bytes]:
     """Splits bytes into parts of random size."""
-    found = []
+    parts = []
     while data:
         size = rng.randint(1, max_size)
-        found.append(data[:size])
+        parts.append(data[:size])
         data = data[size:]
-    return found
+    return parts
 
 
 def relay_attempt(rng, state: StreamState, caller: Caller, data: bytes):
@@ -173,7 +173,7 @@
 
 
 @given("an answer of {tokens:d} tokens and seeds {first:d} to {last:d}")
-def answer_and_seeds(context, tokens, first, last):
+def set_answer_and_seeds(context, tokens, first, last):
     context.tokens, context.seeds = tokens, range(first, last + 1)
 
 
@@ -200,7 +200,7 @@
 
 
 @then("every caller has a whole text or an explicit error")
-def whole_or_error(context):
+def check_whole_or_error(context):
     whole = whole_text(context.tokens)
     for caller in context.callers:
         assert whole.startswith(caller.text), caller
@@ -209,23 +209,23 @@
 
 
 @then("at least {count:d} callers have a whole text after a resume")
-def resumed(context, count):
+def check_whole_after_resume(context, count):
     found = sum(c.whole and bool(c.resumed_at) for c in context.callers)
     assert found >= count, found
 
 
 @then("no caller has a whole text")
-def none_whole(context):
+def check_none_whole(context):
     assert not any(caller.whole for caller in context.callers)
 
 
 @then("the second attempt starts at offset {offset:d}")
-def second_starts(context, offset):
+def check_second_attempt_offset(context, offset):
     assert context.callers[0].resumed_at == [offset], context.callers
 
 
 @given("a stream whose text exceeds the resume limit")
-def long_stream(context):
+def accept_text_over_limit(context):
     context.state = state = StreamState(REQUEST_ID)
     state.begin("router/1")
     part = "x" * (MAX_RESUME_CHARS // 4)
@@ -234,10 +234,10 @@
 
 
 @then("the stream cannot be resumed")
-def not_resumable(context):
+def check_not_resumable(context):
     assert not context.state.resumable
 
 
 @then("its kept text is within the resume limit")
-def kept_bounded(context):
+def check_kept_text_limit(context):
     assert len(context.state.text) <= MAX_RESUME_CHARS
--- a/knapweedarch/callers.py
+++ b/knapweedarch/callers.py
@@ -118,7 +118,7 @@
         reserved_bytes: Current total in bytes.
     """
 
-    limit: int = MAX_BUFFERED_BYTES
+    limit_bytes: int = MAX_BUFFERED_BYTES
     reserved_bytes: int = 0
 
     def reserve(self, size: int) -> None:
@@ -127,7 +127,7 @@
         Raises:
             RefusedError: The limit would be exceeded.
         """
-        if self.reserved_bytes + size > self.limit:
+        if self.reserved_bytes + size > self.limit_bytes:
             raise RefusedError(
                 RefusalReason.QUEUE_FULL,
                 "the memory limit for request bodies is reached",
@@ -136,7 +136,7 @@
 
 
 @attrs.define
-class Call:
+class HttpCall:
     """One HTTP request of a caller and its response.
 
     Attributes:
@@ -218,12 +218,16 @@
         while (await self.receive())["type"] != "http.disconnect":
             pass
 
-    async def start(self, code: int, fields: dict[str, str]) -> None:
+    async def start(self, code: int, headers: dict[str, str]) -> None:
         """Sends the response head."""
         self.started = True
-        headers = [(k.encode(), v.encode()) for k, v in fields.items()]
+        encoded_headers = [(k.encode(), v.encode()) for k, v in headers.items()]
         await self._send(
-            {"type": "http.response.start", "status": code, "headers": headers}
+            {
+                "type": "http.response.start",
+                "status": code,
+                "headers": encoded_headers,
+            }
         )
 
     async def write(self, data: bytes) -> None:
@@ -241,12 +245,12 @@
         code: int,
         data: bytes,
         content_type: str = JSON_TYPE,
-        fields: dict[str, str] | None = None,
+        extra_headers: dict[str, str] | None = None,
     ) -> None:
         """Sends a complete response."""
-        head = {"content-type": content_type} if content_type else {}
-        head |= {"content-length": str(len(data)), **(fields or {})}
-        await self.start(code, head)
+        headers = {"content-type": content_type} if content_type else {}
+        headers |= {"content-length": str(len(data)), **(extra_headers or {})}
+        await self.start(code, headers)
         await self.finish(data)
 
     async def send_json(self, code: int, body: object) -> None:
@@ -255,11 +259,11 @@
 
     async def send_error(self, refused: RefusedError) -> None:
         """Sends an error response; the response must not have been started."""
-        fields = {}
+        headers = {}
         if refused.code in (429, 503):
-            fields["retry-after"] = str(max(1, round(refused.retry_after_s)))
+            headers["retry-after"] = str(max(1, round(refused.retry_after_s)))
         await self.send_response(
-            refused.code, refused.body(), JSON_TYPE, fields
+            refused.code, refused.body(), JSON_TYPE, headers
         )
 
     async def _send(self, message: Message) -> None:
@@ -271,7 +275,7 @@
             )
 
 
-def send_refusal(
+def reason_not_to_send(
     start_refusal: Callable[[], RefusalReason | None],
 ) -> RefusalReason | None:
     """Returns why an accepted request may not be sent now.
@@ -288,9 +292,9 @@
     receive: Receive,
     send: Send,
     budget: BodyBudget | None = None,
-) -> Call:
+) -> HttpCall:
     """Creates a call from an ASGI scope."""
-    return Call(
+    return HttpCall(
         scope["method"],
         scope["path"],
         scope["query_string"].decode("latin1"),
--- a/knapweedarch/chat_requests.py
+++ b/knapweedarch/chat_requests.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from knapweedarch.callers import Call, RefusedError
+from knapweedarch.callers import HttpCall, RefusedError
 from knapweedarch.models import (
     CustomerRule,
     ModelRule,
@@ -41,7 +41,7 @@
 
 
 def parse_chat(
-    data: bytes, call: Call, customer: CustomerRule, rules: Rules
+    data: bytes, call: HttpCall, customer: CustomerRule, rules: Rules
 ) -> ChatRequest:
     """Validates the body and headers of a chat request.
 
--- a/knapweedarch/chats.py
+++ b/knapweedarch/chats.py
@@ -11,11 +11,11 @@
 from knapweedarch.background import BackgroundTasks
 from knapweedarch.callers import (
     WRITE_TIMEOUT_S,
-    Call,
     CallerGoneError,
+    HttpCall,
     RefusedError,
     SlowCallerError,
-    send_refusal,
+    reason_not_to_send,
 )
 from knapweedarch.chat_requests import ChatRequest, parse_chat, prompt_bytes
 from knapweedarch.chat_streams import STREAM_IDLE_TIMEOUT_S, ChatStream
@@ -66,7 +66,7 @@
         self._background = background
 
     async def handle(
-        self, call: Call, customer: CustomerRule, request_id: str
+        self, call: HttpCall, customer: CustomerRule, request_id: str
     ) -> None:
         """Handles one request and sends the response.
 
@@ -213,8 +213,8 @@
     ) -> None:
         limit_s = max(0.05, self._ticket.deadline - self._router.clock.now())
 
-        def check() -> RefusalReason | None:
-            reason = send_refusal(self._router.start_refusal)
+        def check_send() -> RefusalReason | None:
+            reason = reason_not_to_send(self._router.start_refusal)
             relay.sent = reason is None
             return reason
 
@@ -223,7 +223,7 @@
             self._request_body(),
             self._ticket.id,
             attempt_id,
-            check,
+            check_send,
             limit_s,
         ) as stream:
             await relay.run(stream)
--- a/knapweedarch/gateway.py
+++ b/knapweedarch/gateway.py
@@ -13,8 +13,8 @@
 from knapweedarch.background import BackgroundTasks
 from knapweedarch.callers import (
     BodyBudget,
-    Call,
     CallerGoneError,
+    HttpCall,
     Message,
     Receive,
     RefusedError,
@@ -179,7 +179,7 @@
         finally:
             call.release()
 
-    async def _handle(self, call: Call) -> None:
+    async def _handle(self, call: HttpCall) -> None:
         match call.method, call.path:
             case "GET", "/live":
                 await call.send_json(200, {"live": True})
@@ -207,7 +207,7 @@
     def _request_id(self) -> str:
         return f"{self._router.incarnation}-{next(self._request_numbers)}"
 
-    def _customer(self, call: Call) -> CustomerRule:
+    def _customer(self, call: HttpCall) -> CustomerRule:
         scheme, _, key = call.header("authorization").partition(" ")
         key = key.strip() if scheme.lower() == "bearer" else ""
         customer = self._router.customer_for(key) if key else None
@@ -217,7 +217,7 @@
             )
         return customer
 
-    async def _refuse(self, call: Call, refused: RefusedError) -> None:
+    async def _refuse(self, call: HttpCall, refused: RefusedError) -> None:
         self._record_refusal(refused.reason, refused.message)
         if not call.started:
             await call.send_error(refused)
@@ -228,7 +228,7 @@
             "request_refused", reason=reason.value, message=message
         )
 
-    async def _list_models(self, call: Call) -> None:
+    async def _list_models(self, call: HttpCall) -> None:
         customer = self._customer(call)
         names = [
             rule.name
@@ -238,7 +238,7 @@
         data = [{"id": name, "object": "model"} for name in names]
         await call.send_json(200, {"object": "list", "data": data})
 
-    async def _announce(self, call: Call) -> None:
+    async def _announce(self, call: HttpCall) -> None:
         expected = f"Bearer {self._router.endpoint_credential}".encode()
         received = call.header("authorization").encode("latin1")
         if not hmac.compare_digest(expected, received):
--- a/knapweedarch/service_calls.py
+++ b/knapweedarch/service_calls.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from knapweedarch.callers import Call, RefusedError
+from knapweedarch.callers import HttpCall, RefusedError
 from knapweedarch.exchanges import SendRefusedError
 from knapweedarch.models import Outcome, RefusalReason, ServiceRule
 
@@ -66,7 +66,7 @@
     return name, "/" + "/".join(segments)
 
 
-def idempotency_key(call: Call, rule: ServiceRule, path: str) -> str:
+def idempotency_key(call: HttpCall, rule: ServiceRule, path: str) -> str:
     """Returns the key of a call that may run at most once, else "".
 
     Raises:
--- a/knapweedarch/services.py
+++ b/knapweedarch/services.py
@@ -18,7 +18,12 @@
 
 from knapweedarch.adapters import ServiceResponse
 from knapweedarch.background import BackgroundTasks
-from knapweedarch.callers import JSON_TYPE, Call, RefusedError, send_refusal
+from knapweedarch.callers import (
+    JSON_TYPE,
+    HttpCall,
+    RefusedError,
+    reason_not_to_send,
+)
 from knapweedarch.exceptions import ControlError, EndpointError
 from knapweedarch.exchanges import SendRefusedError
 from knapweedarch.models import (
@@ -65,7 +70,7 @@
 # becomes `unknown` when the lease of this router ends.
 SETTLE_LIMIT_S = 30.0
 SETTLE_RETRY_DELAY_S = 0.25
-POLL_INTERVAL_S = 0.1
+FIRST_POLL_INTERVAL_S = 0.1
 MAX_POLL_INTERVAL_S = 1.0
 
 
@@ -82,7 +87,7 @@
         self._running_keys: dict[str, anyio.Event] = {}
 
     async def handle(
-        self, call: Call, customer: CustomerRule, request_id: str
+        self, call: HttpCall, customer: CustomerRule, request_id: str
     ) -> None:
         """Forwards one call and sends the response.
 
@@ -125,7 +130,7 @@
             raise RefusedError(reason, message, outcome)
 
     async def _parse_call(
-        self, call: Call, customer: CustomerRule, request_id: str
+        self, call: HttpCall, customer: CustomerRule, request_id: str
     ) -> ServiceCall:
         name, path = split_path(call.path)
         rules = self._router.rules.services
@@ -173,7 +178,7 @@
         endpoint: Endpoint,
         service_call: ServiceCall,
         limit_s: float,
-        may_send_now: Callable[[], RefusalReason | None],
+        check_send: Callable[[], RefusalReason | None],
     ) -> ServiceResponse:
         attempt_id = f"{self._router.incarnation}/s{next(self._numbers)}"
         try:
@@ -184,7 +189,7 @@
                 {**service_call.headers, "x-attempt-id": attempt_id},
                 service_call.body,
                 limit_s,
-                may_send_now,
+                check_send,
                 own_connection=bool(service_call.key),
             )
         except SendRefusedError:
@@ -223,7 +228,9 @@
                     endpoint,
                     service_call,
                     time_share * self._remaining_s(service_call),
-                    functools.partial(send_refusal, self._router.start_refusal),
+                    functools.partial(
+                        reason_not_to_send, self._router.start_refusal
+                    ),
                 )
                 return _check_size(answer)
             except SendRefusedError as exc:
@@ -252,7 +259,7 @@
             RefusedError: The call has no response; `outcome` tells whether it
                 was run.
         """
-        poll_s = POLL_INTERVAL_S
+        poll_s = FIRST_POLL_INTERVAL_S
         while True:
             await self._wait_for_key(service_call)
             finished = self._running_keys[service_call.record_key] = (
@@ -314,13 +321,13 @@
             "the table of idempotency keys is full",
         )
 
-    def _send_refusal_in_epoch(self, epoch: int) -> RefusalReason | None:
+    def _reason_not_to_send_in_epoch(self, epoch: int) -> RefusalReason | None:
         """Returns why a call reserved in lease epoch `epoch` may not be sent.
 
         If the lease expired in between, the leader may have recorded the call
         as unknown, and then it must not be sent.
         """
-        reason = send_refusal(self._router.start_refusal)
+        reason = reason_not_to_send(self._router.start_refusal)
         if reason is None and self._router.lease_epoch() != epoch:
             return RefusalReason.LEASE_EXPIRED
         return reason
@@ -335,7 +342,7 @@
                     endpoint,
                     service_call,
                     service_call.rule.timeout_s,
-                    functools.partial(self._send_refusal_in_epoch, epoch),
+                    functools.partial(self._reason_not_to_send_in_epoch, epoch),
                 )
             except SendRefusedError as exc:
                 await self._settle_or_retry_later(settle)
--- a/knapweedarch/sinks.py
+++ b/knapweedarch/sinks.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from knapweedarch.callers import Call, RefusedError
+from knapweedarch.callers import HttpCall, RefusedError
 from knapweedarch.models import Outcome, RefusalReason
 from knapweedarch.streams import Chunk, Finish
 
@@ -29,7 +29,7 @@
 class EventSink:
     """Streams tokens to the caller as they arrive."""
 
-    call: Call
+    call: HttpCall
     request_id: str
 
     async def deliver(self, chunks: list[Chunk]) -> None:
@@ -57,23 +57,23 @@
 
     async def _start(self) -> None:
         if not self.call.started:
-            fields = {
+            headers = {
                 "content-type": "text/event-stream",
                 "cache-control": "no-cache",
                 "x-request-id": self.request_id,
             }
-            await self.call.start(200, fields)
+            await self.call.start(200, headers)
 
 
 @attrs.define
 class BufferedSink:
     """Buffers the text and sends it in one JSON response."""
 
-    call: Call
+    call: HttpCall
     request_id: str
     model: str
     _parts: list[str] = attrs.field(factory=list)
-    _size: int = 0
+    _text_chars: int = 0
 
     async def deliver(self, chunks: list[Chunk]) -> None:
         """Buffers the text.
@@ -83,8 +83,8 @@
         """
         for chunk in chunks:
             self._parts.append(chunk.text)
-            self._size += len(chunk.text)
-        if self._size > MAX_ANSWER_CHARS:
+            self._text_chars += len(chunk.text)
+        if self._text_chars > MAX_ANSWER_CHARS:
             raise RefusedError(
                 RefusalReason.ANSWER_TOO_LARGE,
                 f"the response exceeds {MAX_ANSWER_CHARS} characters",
@@ -110,7 +110,7 @@
         await self.call.send_response(
             200,
             json.dumps(body).encode(),
-            fields={"x-request-id": self.request_id},
+            extra_headers={"x-request-id": self.request_id},
         )
 
     async def fail(self, refused: RefusedError) -> None:
