--- a/features/request_harness.py
+++ b/features/request_harness.py
@@ -18,7 +18,9 @@
 
 # Time limit of one scenario; a hang fails it instead of blocking the run.
 SCENARIO_TIMEOUT_S = 20.0
+# Time that running requests get to finish when a server stops.
 GRACEFUL_TIMEOUT_S = 0.2
+# Time limit for stopping all servers at the end of a scenario.
 STOP_TIMEOUT_S = 2.0
 
 
@@ -69,7 +71,7 @@
         return url
 
     async def add_router(self, name: str = "router-1") -> FakeRouter:
-        """Starts a gateway."""
+        """Starts a gateway with a fake router."""
         router = FakeRouter(name, self.state)
         self.routers.append(router)
         self.gateways.append(create_app(router))
@@ -133,7 +135,10 @@
         return parse_response(reply)
 
     async def stop_router(self, number: int) -> None:
-        """Stops a router's server after `GRACEFUL_TIMEOUT_S`."""
+        """Stops a router's server.
+
+        Running requests get `GRACEFUL_TIMEOUT_S` to finish.
+        """
         self._stops[number].set()
 
     async def close(self) -> None:
--- a/features/requests.feature
+++ b/features/requests.feature
@@ -24,8 +24,8 @@
       | break   | a whole answer | connection_closed  |
       | silent  | a whole answer | stream_silent      |
 
-  # Guards against metrics without the cache hit rate or the time to first
-  # token.
+  # Guards against a time to first token that is measured again after a resume,
+  # and against prompt tokens that are not counted.
   Scenario: The first token and the prompt tokens are measured once
     Given a runner "a" with fault "break" at token 5
     And a runner "b"
@@ -83,7 +83,9 @@
     And counter "cancelled" is 1
     And the scheduler recorded 1 cancelled attempt
 
-  # Guards against a request that is sent after the lease has expired.
+  # Guards against a request that is sent after the lease has expired. The
+  # gateway checks for a refusal first when a request arrives and again right
+  # before each send.
   Scenario: A lease that expires before the send stops the send
     Given a runner "a"
     And the lease expires after 1 check
@@ -99,6 +101,7 @@
     When a caller asks for a stream of 20 tokens
     Then the caller has the whole text of 20 tokens
 
+  # Guards against a planned stop during which new requests are accepted.
   Scenario: A request that comes during a planned stop is not run
     Given a runner "a"
     And the router stops after 0 check
@@ -348,6 +351,7 @@
     When a caller asks for a stream of 20 tokens
     Then the caller has the whole text of 20 tokens
 
+  # Guards against headers of unlimited size.
   Scenario: Headers have a bound
     When a caller adds a header of 100000 bytes
     Then the last answer has status 431
@@ -370,11 +374,13 @@
     When router 1 follows the feed of runner "a", which loses an event
     Then the feed ended with "stream_gap" after events 1, 2, 4
 
+  # Guards against a feed that is followed although it no longer sends events.
   Scenario: A silent feed ends
     Given a runner on a raw server in mode "silent"
     When router 1 follows the feed of the raw server
     Then the feed ended with "stream_silent" after 1 load report
 
+  # Guards against an old order that replaces the effect of a newer one.
   Scenario: A runner that checks fencing numbers refuses an old order
     Given a runner "a" that checks fencing numbers
     When router 1 orders weights "w2" with fencing number 7
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -45,7 +45,7 @@
 
 
 def run_async(context, function, *arguments):
-    """Runs an async function in the scenario's event loop."""
+    """Runs an async function in the scenario's event loop, with a timeout."""
 
     async def bounded():
         with anyio.fail_after(STEP_TIMEOUT_S):
@@ -483,6 +483,7 @@
         content = chunked_parts(OVERSIZED_BODY_BYTES)
     path = BAD_PATHS.get(what, "/v1/chat/completions")
     headers = {**AUTHORIZATION, **BAD_HEADERS.get(what, {})}
+    # The case "a class above its own" sends the class GUEST.
     assert context.harness.routers[0].customer.priority is Priority.INTERACTIVE
 
     async def run() -> Answer:
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -134,7 +134,7 @@
     """Feeds the bytes of one attempt as the router does.
 
     Raises:
-        StreamProtocolError: The router would end the attempt here.
+        StreamProtocolError: The router would abandon the attempt here.
     """
     decoder = SseDecoder()
     for data_part in split_randomly(rng, data, 400):
@@ -150,7 +150,11 @@
 def relay_attempts(
     seed: int, tokens: int, faults: list[str], first_faultless: int
 ) -> Caller:
-    """Relays up to `MAX_ATTEMPTS`, without faults from `first_faultless` on."""
+    """Relays attempts until one is complete, at most `MAX_ATTEMPTS`.
+
+    Attempts are counted from 0; those from number `first_faultless` on have no
+    fault.
+    """
     rng = random.Random(seed)
     state, caller = StreamState(REQUEST_ID), Caller()
     for number in range(MAX_ATTEMPTS):
--- a/knapweedarch/background.py
+++ b/knapweedarch/background.py
@@ -42,7 +42,10 @@
     async def start(
         self, function: Callable[..., Awaitable[None]], *arguments: object
     ) -> None:
-        """Starts a function, which must not raise and must end by itself."""
+        """Starts a function, which must end by itself.
+
+        It must not raise, since nothing handles its exception.
+        """
         if self._group is None:
             with anyio.CancelScope(shield=True):
                 return await function(*arguments)
--- a/knapweedarch/callers.py
+++ b/knapweedarch/callers.py
@@ -69,7 +69,7 @@
 
 
 class RefusedError(KnapweedarchError):
-    """The request is answered with an error response.
+    """The request is answered with an error response or an error event.
 
     Attributes:
         reason: Machine-readable reason.
@@ -139,14 +139,19 @@
 class HttpCall:
     """One HTTP request of a caller and its response.
 
+    Methods that send raise `SlowCallerError` if the caller does not take the
+    data within `WRITE_TIMEOUT_S`; only `write` has no timeout.
+
     Attributes:
         method: HTTP method.
         path: Percent-decoded path.
         query: Query string as sent.
         headers: Headers by lower-case name; the last one of a repeated name.
+        receive: ASGI function that returns the next message of the caller.
+        send: ASGI function that sends a message to the caller.
         budget: Memory limit shared by all calls of the router.
         reserved_bytes: Bytes that this call has reserved in the budget.
-        started: Whether the response head was sent.
+        started: Whether sending the response head has begun.
     """
 
     method: str
@@ -231,7 +236,10 @@
         )
 
     async def write(self, data: bytes) -> None:
-        """Sends a part of the response body, without a timeout."""
+        """Sends a part of the response body, without a timeout.
+
+        The stream's `Watchdog` applies one instead.
+        """
         await self.send(
             {"type": "http.response.body", "body": data, "more_body": True}
         )
--- a/knapweedarch/chat_requests.py
+++ b/knapweedarch/chat_requests.py
@@ -17,7 +17,8 @@
 MAX_TOKENS_LIMIT = 131_072
 # Fields that the router itself sets in the request to a runner.
 RESERVED_FIELDS = frozenset({"prefix_blocks", "resume"})
-# Responses to these carry more than text, which a resume could not continue.
+# Responses to requests with these fields contain more than text, which a resume
+# could not continue.
 UNSUPPORTED_FIELDS = frozenset({"tools", "functions", "logprobs"})
 
 
--- a/knapweedarch/chat_streams.py
+++ b/knapweedarch/chat_streams.py
@@ -19,7 +19,8 @@
 class ChatStream:
     """Events of one attempt.
 
-    `read` has no timeout of its own; the caller applies one (see `watchdogs`).
+    `read` has no timeout of its own; the code that reads applies one (see
+    `watchdogs`).
 
     Attributes:
         first_event_s: Timeout for the first event in seconds.
--- a/knapweedarch/chats.py
+++ b/knapweedarch/chats.py
@@ -139,7 +139,8 @@
 
     Attributes:
         watchdog: Its `run` must run concurrently with `run` of this class.
-        ended: Whether the end of the response is being sent to the caller.
+        ended: Whether sending the end of the response or an error to the caller
+            has begun.
     """
 
     def __init__(
@@ -179,7 +180,11 @@
         await self._fail(self._refusal(decision))
 
     async def _run_attempt(self, attempt: Attempt) -> RefusedError | None:
-        """Makes one attempt; returns an error if it must not be retried."""
+        """Makes one attempt; returns an error if no retry may follow.
+
+        None means that the response is complete or that the attempt failed and
+        may be retried.
+        """
         attempt_id = f"{self._router.incarnation}/{attempt.number}"
         self._state.begin(attempt_id)
         result = AttemptResult(cancelled=True)
@@ -380,8 +385,8 @@
                 if self.state.finish is not None:
                     return
         finally:
-            # Chunks before an invalid event passed the checks and count as
-            # accepted, so they are delivered.
+            # Also delivers the chunks before an invalid event: they passed the
+            # checks, and `state` already counts them as received.
             if chunks:
                 self._record_first_token(chunks[0])
                 await self.sink.deliver(chunks)
@@ -400,7 +405,12 @@
             self._count_prompt_tokens(chunk.cached_tokens)
 
     def _count_prompt_tokens(self, cached_tokens: int) -> None:
-        """Counts cached and computed prompt tokens, and missed cache hits."""
+        """Counts the prompt tokens of an attempt.
+
+        Cached tokens were found in the runner's cache, and computed ones were
+        not. Wasted ones are those that the scheduler expected in the cache
+        beyond the cached ones.
+        """
         attempt = self.attempt
         computed = max(0, attempt.ticket.prompt_tokens - cached_tokens)
         expected = attempt.cached_blocks * BLOCK_TOKENS
--- a/knapweedarch/gateway.py
+++ b/knapweedarch/gateway.py
@@ -53,7 +53,10 @@
 
 
 class SchedulerPort(Protocol):
-    """Scheduler interface that the gateway uses; see the design page, 5.1."""
+    """Scheduler interface that the gateway uses; see the design page, 5.1.
+
+    `now` is the time of the router's clock in seconds.
+    """
 
     def version_for(self, model: str) -> str:
         """Returns the weights version that a prompt is hashed for."""
@@ -62,7 +65,7 @@
         """Records a load report."""
 
     def first_token(self, attempt: Attempt, now: float) -> None:
-        """Records the first token of an attempt."""
+        """Records that an attempt returned its first token."""
 
     def finished(
         self, attempt: Attempt, outcome: AttemptResult, now: float
@@ -74,12 +77,13 @@
     """Router interface that the gateway uses.
 
     Attributes:
-        clock: Clock of the router.
+        clock: Clock of the router, in seconds; also the time base of the
+            scheduler and of request deadlines.
         rules: Rules in force.
         scheduler: Decides on the placement of requests.
         adapter: Sends requests to endpoints.
         incarnation: Random identifier chosen at each start of the router.
-        max_body_bytes: Maximum size of a request body.
+        max_body_bytes: Maximum size of one request body.
         endpoint_credential: Credential that endpoints send in announcements.
     """
 
@@ -102,7 +106,11 @@
         """
 
     def lease_epoch(self) -> int:
-        """Returns the lease epoch, which changes if the lease has lapsed."""
+        """Returns the number of times the lease was granted after it expired.
+
+        If it is the same at two times at which the lease is held, the lease did
+        not expire in between.
+        """
 
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
         """Waits for the placement decision for a request."""
@@ -113,7 +121,7 @@
         """Waits for the placement decision for a retry."""
 
     def service_endpoints(self, name: str) -> Sequence[Endpoint]:
-        """Returns the active endpoints of a service, best first."""
+        """Returns the active endpoints of a service, nearest first."""
 
     async def submit(self, command: object, timeout_s: float) -> object:
         """Submits a command to the control members.
@@ -123,13 +131,20 @@
         """
 
     async def announce(self, endpoint: Endpoint) -> object | None:
-        """Forwards an announcement to the control members if it is new."""
+        """Forwards an announcement to the control members if it is new.
+
+        Returns:
+            The result of the command, or None if nothing was forwarded.
+
+        Raises:
+            ControlError: The command was rejected or its outcome is unknown.
+        """
 
     def ready(self) -> bool:
         """Returns whether the load balancer may send requests here."""
 
     def count(self, name: str, number: int = 1) -> None:
-        """Increments a counter."""
+        """Adds `number` to a counter."""
 
     def timing(self, name: str, seconds: float) -> None:
         """Records a duration in seconds."""
--- a/knapweedarch/service_calls.py
+++ b/knapweedarch/service_calls.py
@@ -24,9 +24,10 @@
         path: Percent-encoded path and query.
         headers: Headers to send to the endpoint.
         body: Request body.
-        deadline: Time by which the caller must get a response.
+        deadline: Time of the router's clock, in seconds, by which the caller
+            must get a response.
         key: Idempotency key; empty if the call may run more than once.
-        record_key: Key of the at-most-once record.
+        record_key: Key of the at-most-once record; empty without `key`.
     """
 
     rule: ServiceRule
@@ -91,7 +92,12 @@
 
 
 def answer_too_large_error(limit: int = 0) -> RefusedError:
-    """Builds the error for a response over a size limit in bytes."""
+    """Builds the error for a response that is too large.
+
+    Args:
+        limit: Size limit in bytes for recording a response; 0 if the response
+            was too large to be read.
+    """
     stored = f"; responses over {limit} bytes are not recorded" if limit else ""
     return RefusedError(
         RefusalReason.ANSWER_TOO_LARGE,
@@ -119,7 +125,12 @@
 
 
 def send_refused_error(exc: SendRefusedError, written: bool) -> RefusedError:
-    """Builds the error for a call that this router may not send."""
+    """Builds the error for a call that this router may not send.
+
+    Args:
+        exc: The refusal.
+        written: Whether an earlier attempt may have written the call.
+    """
     return RefusedError(
         exc.refusal,
         "the router is not sending calls to services at the moment",
--- a/knapweedarch/services.py
+++ b/knapweedarch/services.py
@@ -61,6 +61,7 @@
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
 METHODS = IDEMPOTENT_METHODS | {"POST", "PATCH"}
 FORWARDED_HEADERS = ("content-type", "accept", "idempotency-key")
+# Longest response body that is recorded for a resend.
 MAX_STORED_BYTES = 64 * 1024
 MAX_RUNNING_CALLS = 256
 MAX_ATTEMPTS = 3
@@ -70,6 +71,8 @@
 # becomes `unknown` when the lease of this router ends.
 SETTLE_LIMIT_S = 30.0
 SETTLE_RETRY_DELAY_S = 0.25
+# Time to wait before trying again to reserve a key that another call has
+# reserved; doubled each time up to the maximum.
 FIRST_POLL_INTERVAL_S = 0.1
 MAX_POLL_INTERVAL_S = 1.0
 
@@ -92,7 +95,8 @@
         """Forwards one call and sends the response.
 
         Raises:
-            RefusedError: There is no response of the service.
+            RefusedError: The call was refused, or the service returned no
+                response that can be delivered.
         """
         service_call = await self._parse_call(call, customer, request_id)
         self._check_admission(service_call)
@@ -221,7 +225,7 @@
         written = False
         for number in range(MAX_ATTEMPTS):
             endpoint = endpoints[number % len(endpoints)]
-            # Half of the remaining time is left for another attempt.
+            # Half of the remaining time is kept for further attempts.
             time_share = 1.0 if number == MAX_ATTEMPTS - 1 else 0.5
             try:
                 answer = await self._send(
@@ -241,6 +245,7 @@
                     break
                 if not self._retry_budget.try_spend():
                     break
+            # The first attempt at each endpoint needs no delay.
             if number + 1 >= len(endpoints):
                 delay = back_off_s(RetryConfig(), number + 1, self._random)
                 await anyio.sleep(min(delay, self._remaining_s(service_call)))
@@ -289,7 +294,11 @@
     async def _reserve_and_send(
         self, service_call: ServiceCall
     ) -> ServiceResponse | None:
-        """Reserves and sends a call; returns None if it is already running."""
+        """Reserves and sends a call, or returns the recorded response.
+
+        Returns None while another call, usually one of another router, has
+        reserved the key.
+        """
         holder = f"{self._router.incarnation}/{next(self._numbers)}"
         epoch = self._router.lease_epoch()
         reserve = Reserve(
@@ -335,6 +344,7 @@
     async def _send_reserved(
         self, service_call: ServiceCall, holder: str, epoch: int
     ) -> ServiceResponse:
+        # Without a status it releases the key: the call did not run.
         settle = Settle(service_call.record_key, holder, None)
         for endpoint in self._router.service_endpoints(service_call.rule.name):
             try:
--- a/knapweedarch/sinks.py
+++ b/knapweedarch/sinks.py
@@ -13,10 +13,18 @@
 
 
 class Sink(Protocol):
-    """Receives the tokens of a response and sends it to the caller."""
+    """Receives the tokens of a response and sends it to the caller.
+
+    A write that times out raises `SlowCallerError`; the writes of tokens in
+    `deliver` have no timeout of their own.
+    """
 
     async def deliver(self, chunks: list[Chunk]) -> None:
-        """Accepts the next tokens."""
+        """Accepts the next tokens.
+
+        Raises:
+            RefusedError: The response has become too large.
+        """
 
     async def finish(self, finish: Finish) -> None:
         """Ends a complete response."""
--- a/knapweedarch/streams.py
+++ b/knapweedarch/streams.py
@@ -293,7 +293,8 @@
         if finish.offset != self.offset or reported_tokens != self.offset:
             raise StreamProtocolError(
                 RetryReason.STREAM_GAP,
-                f"usage is {reported_tokens} tokens, received {self.offset}",
+                "the finishing event does not match the tokens received: usage "
+                f"is {reported_tokens}, received {self.offset}",
             )
         self._pending_finish = finish
 
@@ -304,7 +305,8 @@
         ):
             raise StreamProtocolError(
                 RetryReason.CROSSED_ANSWER,
-                f"received an event of attempt {event.attempt_id}",
+                "received an event of another request or attempt: "
+                f"{event.attempt_id}",
             )
 
     def _append_text(self, text: str) -> None:
--- a/knapweedarch/watchdogs.py
+++ b/knapweedarch/watchdogs.py
@@ -24,6 +24,8 @@
 class Watchdog:
     """Cancels a scope when its current step exceeds its time limit.
 
+    It acts up to `CHECK_INTERVAL_S` after the limit, and only while `run` runs.
+
     Attributes:
         expired: The step that exceeded its limit, or None.
     """
