--- a/knapweedarch/gateway.py
+++ b/knapweedarch/gateway.py
@@ -13,8 +13,8 @@
 from knapweedarch.background import BackgroundTasks
 from knapweedarch.callers import (
     BodyBudget,
-    Call,
     CallerGoneError,
+    HttpCall,
     Message,
     Receive,
     RefusedError,
@@ -53,7 +53,10 @@
 
 
 class SchedulerPort(Protocol):
-    """Scheduler interface that the gateway uses; see the design page, 5.1."""
+    """Scheduler interface that the gateway uses; see the design page, 5.1.
+
+    `now` is the time of the router's clock in seconds.
+    """
 
     def version_for(self, model: str) -> str:
         """Returns the weights version that a prompt is hashed for."""
@@ -62,7 +65,7 @@
         """Records a load report."""
 
     def first_token(self, attempt: Attempt, now: float) -> None:
-        """Records the first token of an attempt."""
+        """Records that an attempt returned its first token."""
 
     def finished(
         self, attempt: Attempt, outcome: AttemptResult, now: float
@@ -74,12 +77,13 @@
     """Router interface that the gateway uses.
 
     Attributes:
-        clock: Clock of the router.
+        clock: Clock of the router, in seconds; also the time base of the
+            scheduler and of request deadlines.
         rules: Rules in force.
         scheduler: Decides on the placement of requests.
         adapter: Sends requests to endpoints.
         incarnation: Random identifier chosen at each start of the router.
-        max_body_bytes: Maximum size of a request body.
+        max_body_bytes: Maximum size of one request body.
         endpoint_credential: Credential that endpoints send in announcements.
     """
 
@@ -102,7 +106,11 @@
         """
 
     def lease_epoch(self) -> int:
-        """Returns the lease epoch, which changes if the lease has lapsed."""
+        """Returns the number of times the lease was granted after it expired.
+
+        If it is the same at two times at which the lease is held, the lease did
+        not expire in between.
+        """
 
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
         """Waits for the placement decision for a request."""
@@ -113,7 +121,7 @@
         """Waits for the placement decision for a retry."""
 
     def service_endpoints(self, name: str) -> Sequence[Endpoint]:
-        """Returns the active endpoints of a service, best first."""
+        """Returns the active endpoints of a service, nearest first."""
 
     async def submit(self, command: object, timeout_s: float) -> object:
         """Submits a command to the control members.
@@ -123,13 +131,20 @@
         """
 
     async def announce(self, endpoint: Endpoint) -> object | None:
-        """Forwards an announcement to the control members if it is new."""
+        """Forwards an announcement to the control members if it is new.
+
+        Returns:
+            The result of the command, or None if nothing was forwarded.
+
+        Raises:
+            ControlError: The command was rejected or its outcome is unknown.
+        """
 
     def ready(self) -> bool:
         """Returns whether the load balancer may send requests here."""
 
     def count(self, name: str, number: int = 1) -> None:
-        """Increments a counter."""
+        """Adds `number` to a counter."""
 
     def timing(self, name: str, seconds: float) -> None:
         """Records a duration in seconds."""
@@ -179,7 +194,7 @@
         finally:
             call.release()
 
-    async def _handle(self, call: Call) -> None:
+    async def _handle(self, call: HttpCall) -> None:
         match call.method, call.path:
             case "GET", "/live":
                 await call.send_json(200, {"live": True})
@@ -207,7 +222,7 @@
     def _request_id(self) -> str:
         return f"{self._router.incarnation}-{next(self._request_numbers)}"
 
-    def _customer(self, call: Call) -> CustomerRule:
+    def _customer(self, call: HttpCall) -> CustomerRule:
         scheme, _, key = call.header("authorization").partition(" ")
         key = key.strip() if scheme.lower() == "bearer" else ""
         customer = self._router.customer_for(key) if key else None
@@ -217,7 +232,7 @@
             )
         return customer
 
-    async def _refuse(self, call: Call, refused: RefusedError) -> None:
+    async def _refuse(self, call: HttpCall, refused: RefusedError) -> None:
         self._record_refusal(refused.reason, refused.message)
         if not call.started:
             await call.send_error(refused)
@@ -228,7 +243,7 @@
             "request_refused", reason=reason.value, message=message
         )
 
-    async def _list_models(self, call: Call) -> None:
+    async def _list_models(self, call: HttpCall) -> None:
         customer = self._customer(call)
         names = [
             rule.name
@@ -238,7 +253,7 @@
         data = [{"id": name, "object": "model"} for name in names]
         await call.send_json(200, {"object": "list", "data": data})
 
-    async def _announce(self, call: Call) -> None:
+    async def _announce(self, call: HttpCall) -> None:
         expected = f"Bearer {self._router.endpoint_credential}".encode()
         received = call.header("authorization").encode("latin1")
         if not hmac.compare_digest(expected, received):
--- a/knapweedarch/services.py
+++ b/knapweedarch/services.py
@@ -18,7 +18,12 @@
 
 from knapweedarch.adapters import ServiceResponse
 from knapweedarch.background import BackgroundTasks
-from knapweedarch.callers import JSON_TYPE, Call, RefusedError, send_refusal
+from knapweedarch.callers import (
+    JSON_TYPE,
+    HttpCall,
+    RefusedError,
+    reason_not_to_send,
+)
 from knapweedarch.exceptions import ControlError, EndpointError
 from knapweedarch.exchanges import SendRefusedError
 from knapweedarch.models import (
@@ -56,6 +61,7 @@
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
 METHODS = IDEMPOTENT_METHODS | {"POST", "PATCH"}
 FORWARDED_HEADERS = ("content-type", "accept", "idempotency-key")
+# Longest response body that is recorded for a resend.
 MAX_STORED_BYTES = 64 * 1024
 MAX_RUNNING_CALLS = 256
 MAX_ATTEMPTS = 3
@@ -65,7 +71,9 @@
 # becomes `unknown` when the lease of this router ends.
 SETTLE_LIMIT_S = 30.0
 SETTLE_RETRY_DELAY_S = 0.25
-POLL_INTERVAL_S = 0.1
+# Time to wait before trying again to reserve a key that another call has
+# reserved; doubled each time up to the maximum.
+FIRST_POLL_INTERVAL_S = 0.1
 MAX_POLL_INTERVAL_S = 1.0
 
 
@@ -82,12 +90,13 @@
         self._running_keys: dict[str, anyio.Event] = {}
 
     async def handle(
-        self, call: Call, customer: CustomerRule, request_id: str
+        self, call: HttpCall, customer: CustomerRule, request_id: str
     ) -> None:
         """Forwards one call and sends the response.
 
         Raises:
-            RefusedError: There is no response of the service.
+            RefusedError: The call was refused, or the service returned no
+                response that can be delivered.
         """
         service_call = await self._parse_call(call, customer, request_id)
         self._check_admission(service_call)
@@ -125,7 +134,7 @@
             raise RefusedError(reason, message, outcome)
 
     async def _parse_call(
-        self, call: Call, customer: CustomerRule, request_id: str
+        self, call: HttpCall, customer: CustomerRule, request_id: str
     ) -> ServiceCall:
         name, path = split_path(call.path)
         rules = self._router.rules.services
@@ -173,7 +182,7 @@
         endpoint: Endpoint,
         service_call: ServiceCall,
         limit_s: float,
-        may_send_now: Callable[[], RefusalReason | None],
+        check_send: Callable[[], RefusalReason | None],
     ) -> ServiceResponse:
         attempt_id = f"{self._router.incarnation}/s{next(self._numbers)}"
         try:
@@ -184,7 +193,7 @@
                 {**service_call.headers, "x-attempt-id": attempt_id},
                 service_call.body,
                 limit_s,
-                may_send_now,
+                check_send,
                 own_connection=bool(service_call.key),
             )
         except SendRefusedError:
@@ -216,14 +225,16 @@
         written = False
         for number in range(MAX_ATTEMPTS):
             endpoint = endpoints[number % len(endpoints)]
-            # Half of the remaining time is left for another attempt.
+            # Half of the remaining time is kept for further attempts.
             time_share = 1.0 if number == MAX_ATTEMPTS - 1 else 0.5
             try:
                 answer = await self._send(
                     endpoint,
                     service_call,
                     time_share * self._remaining_s(service_call),
-                    functools.partial(send_refusal, self._router.start_refusal),
+                    functools.partial(
+                        reason_not_to_send, self._router.start_refusal
+                    ),
                 )
                 return _check_size(answer)
             except SendRefusedError as exc:
@@ -234,6 +245,7 @@
                     break
                 if not self._retry_budget.try_spend():
                     break
+            # The first attempt at each endpoint needs no delay.
             if number + 1 >= len(endpoints):
                 delay = back_off_s(RetryConfig(), number + 1, self._random)
                 await anyio.sleep(min(delay, self._remaining_s(service_call)))
@@ -252,7 +264,7 @@
             RefusedError: The call has no response; `outcome` tells whether it
                 was run.
         """
-        poll_s = POLL_INTERVAL_S
+        poll_s = FIRST_POLL_INTERVAL_S
         while True:
             await self._wait_for_key(service_call)
             finished = self._running_keys[service_call.record_key] = (
@@ -282,7 +294,11 @@
     async def _reserve_and_send(
         self, service_call: ServiceCall
     ) -> ServiceResponse | None:
-        """Reserves and sends a call; returns None if it is already running."""
+        """Reserves and sends a call, or returns the recorded response.
+
+        Returns None while another call, usually one of another router, has
+        reserved the key.
+        """
         holder = f"{self._router.incarnation}/{next(self._numbers)}"
         epoch = self._router.lease_epoch()
         reserve = Reserve(
@@ -314,13 +330,13 @@
             "the table of idempotency keys is full",
         )
 
-    def _send_refusal_in_epoch(self, epoch: int) -> RefusalReason | None:
+    def _reason_not_to_send_in_epoch(self, epoch: int) -> RefusalReason | None:
         """Returns why a call reserved in lease epoch `epoch` may not be sent.
 
         If the lease expired in between, the leader may have recorded the call
         as unknown, and then it must not be sent.
         """
-        reason = send_refusal(self._router.start_refusal)
+        reason = reason_not_to_send(self._router.start_refusal)
         if reason is None and self._router.lease_epoch() != epoch:
             return RefusalReason.LEASE_EXPIRED
         return reason
@@ -328,6 +344,7 @@
     async def _send_reserved(
         self, service_call: ServiceCall, holder: str, epoch: int
     ) -> ServiceResponse:
+        # Without a status it releases the key: the call did not run.
         settle = Settle(service_call.record_key, holder, None)
         for endpoint in self._router.service_endpoints(service_call.rule.name):
             try:
@@ -335,7 +352,7 @@
                     endpoint,
                     service_call,
                     service_call.rule.timeout_s,
-                    functools.partial(self._send_refusal_in_epoch, epoch),
+                    functools.partial(self._reason_not_to_send_in_epoch, epoch),
                 )
             except SendRefusedError as exc:
                 await self._settle_or_retry_later(settle)
--- a/knapweedarch/sinks.py
+++ b/knapweedarch/sinks.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from knapweedarch.callers import Call, RefusedError
+from knapweedarch.callers import HttpCall, RefusedError
 from knapweedarch.models import Outcome, RefusalReason
 from knapweedarch.streams import Chunk, Finish
 
@@ -13,10 +13,18 @@
 
 
 class Sink(Protocol):
-    """Receives the tokens of a response and sends it to the caller."""
+    """Receives the tokens of a response and sends it to the caller.
+
+    A write that times out raises `SlowCallerError`; the writes of tokens in
+    `deliver` have no timeout of their own.
+    """
 
     async def deliver(self, chunks: list[Chunk]) -> None:
-        """Accepts the next tokens."""
+        """Accepts the next tokens.
+
+        Raises:
+            RefusedError: The response has become too large.
+        """
 
     async def finish(self, finish: Finish) -> None:
         """Ends a complete response."""
@@ -29,7 +37,7 @@
 class EventSink:
     """Streams tokens to the caller as they arrive."""
 
-    call: Call
+    call: HttpCall
     request_id: str
 
     async def deliver(self, chunks: list[Chunk]) -> None:
@@ -57,23 +65,23 @@
 
     async def _start(self) -> None:
         if not self.call.started:
-            fields = {
+            headers = {
                 "content-type": "text/event-stream",
                 "cache-control": "no-cache",
                 "x-request-id": self.request_id,
             }
-            await self.call.start(200, fields)
+            await self.call.start(200, headers)
 
 
 @attrs.define
 class BufferedSink:
     """Buffers the text and sends it in one JSON response."""
 
-    call: Call
+    call: HttpCall
     request_id: str
     model: str
     _parts: list[str] = attrs.field(factory=list)
-    _size: int = 0
+    _text_chars: int = 0
 
     async def deliver(self, chunks: list[Chunk]) -> None:
         """Buffers the text.
@@ -83,8 +91,8 @@
         """
         for chunk in chunks:
             self._parts.append(chunk.text)
-            self._size += len(chunk.text)
-        if self._size > MAX_ANSWER_CHARS:
+            self._text_chars += len(chunk.text)
+        if self._text_chars > MAX_ANSWER_CHARS:
             raise RefusedError(
                 RefusalReason.ANSWER_TOO_LARGE,
                 f"the response exceeds {MAX_ANSWER_CHARS} characters",
@@ -110,7 +118,7 @@
         await self.call.send_response(
             200,
             json.dumps(body).encode(),
-            fields={"x-request-id": self.request_id},
+            extra_headers={"x-request-id": self.request_id},
         )
 
     async def fail(self, refused: RefusedError) -> None:
