--- a/features/checked_group.py
+++ b/features/checked_group.py
@@ -14,7 +14,7 @@
     def __init__(self, *args, **variant):
         self._leaders: dict[int, str] = {}
         self._committed: dict[int, Entry] = {}
-        self._committed_in: dict[int, int] = {}
+        self._commit_terms: dict[int, int] = {}
         self._lease = ("", 0.0)
         super().__init__(*args, **variant)
 
@@ -33,7 +33,7 @@
         known = self._committed.setdefault(entry.index, entry)
         if known != entry:
             raise BrokenInvariantError(f"committed entry {entry.index} changed")
-        self._committed_in.setdefault(entry.index, node.replica.term)
+        self._commit_terms.setdefault(entry.index, node.replica.term)
         super()._apply(node, entry)
 
     def _restore(self, node: Node, snapshot: Snapshot) -> None:
@@ -80,7 +80,7 @@
         for index, entry in self._committed.items():
             # A frozen candidate may receive the votes of an old term only
             # after a newer term has committed more entries.
-            if self._committed_in[index] >= node.replica.term:
+            if self._commit_terms[index] >= node.replica.term:
                 continue
             if index > start and log.get(index) != entry:
                 raise BrokenInvariantError(
