--- a/features/checked_group.py
+++ b/features/checked_group.py
@@ -9,17 +9,27 @@
 
 
 class CheckedGroup(VirtualGroup):
-    """Checks a group; raises `BrokenInvariantError` on a violation."""
+    """Checks a group; raises `BrokenInvariantError` on a violation.
+
+    The invariants are: a term has one leader; a new leader holds every entry
+    that was committed in earlier terms; two leader leases never overlap;
+    members apply the same entries in the same order, and snapshots agree with
+    these entries.
+    """
 
     def __init__(self, *args, **variant):
+        # Identity of the leader of each term.
         self._leaders: dict[int, str] = {}
+        # Each committed entry by its index, and the term of the member that
+        # applied it first.
         self._committed: dict[int, Entry] = {}
         self._commit_terms: dict[int, int] = {}
+        # Identity of the last lease holder, and when its lease ends.
         self._lease = ("", 0.0)
         super().__init__(*args, **variant)
 
     def step(self) -> None:
-        """Runs one step and checks the leaders."""
+        """Runs one step and checks the leaders and their leases."""
         super().step()
         for node in self.nodes.values():
             if node.replica is not None and node.replica.leader_since:
@@ -61,7 +71,10 @@
             self._lease = (identity, end)
 
     def transfer_leadership(self, name: str) -> bool:
-        """Makes a leader transfer its leadership, which ends its lease."""
+        """Makes a member transfer its leadership, which must end its lease.
+
+        Returns whether the member was the leader and no longer is.
+        """
         node = self.nodes[name]
         led = node.replica.leader_since is not None
         gave_up = node.replica.transfer_leadership(node.clock(self.now))
@@ -78,8 +91,8 @@
         log = {e.index: e for e in node.disk.entries}
         start = getattr(node.disk.snapshot, "index", 0)
         for index, entry in self._committed.items():
-            # A frozen candidate may receive the votes of an old term only
-            # after a newer term has committed more entries.
+            # A candidate that was frozen may win an old term after a newer
+            # term has committed entries, which it need not hold.
             if self._commit_terms[index] >= node.replica.term:
                 continue
             if index > start and log.get(index) != entry:
--- a/features/replication_faults.py
+++ b/features/replication_faults.py
@@ -148,6 +148,7 @@
     group.lose_disk(replaced)
     group.start(replaced)
     group.isolate(replaced)
+    # For its first 4 s the new identity is isolated and cannot receive the log.
     for step in range(400):
         if step == 160:
             group.heal()
@@ -176,8 +177,8 @@
 def replicate_old_term_entry(group: CheckedGroup) -> None:
     """Replicates an entry of term 2 to a majority in term 4.
 
-    Another member holds an entry of term 3 at the same index, and members that
-    hold the entry of term 2 may still elect it.
+    Another member holds an entry of term 3 at the same index. Members that hold
+    the entry of term 2 may still elect it; its entry then replaces theirs.
     """
     for name in group.nodes:
         group.crash(name)
@@ -285,7 +286,8 @@
     group.duplication = rng.choice((0.0, 0.1))
     group.delay = (0.001, rng.choice((0.005, 0.05, 0.4)))
     group.compact_interval = rng.choice((0, 3, 12))
-    # Only in an idle group can a reconnected member still win votes.
+    # With rate 0.0 the group is idle; only then can a reconnected member, whose
+    # log is not behind, still win votes.
     rate = rng.choice((0.0, 0.02, 0.25))
     pause_s = rng.choice((0.2, 0.6, 1.5))
     try:
@@ -306,7 +308,13 @@
 def propose_randomly(
     group: CheckedGroup, rng: random.Random, rate: float
 ) -> None:
-    """Proposes at random at each presumed leader, deposed ones included."""
+    """Proposes to each member that considers itself leader, even if deposed.
+
+    Args:
+        group: Group of the members.
+        rng: Source of randomness.
+        rate: Probability of a proposal to each of them.
+    """
     for node in group.running():
         if node.replica.leader_since is not None and rng.random() < rate:
             node.replica.propose(
--- a/features/steps/journal_steps.py
+++ b/features/steps/journal_steps.py
@@ -49,7 +49,11 @@
 
 
 class JournalAndModel:
-    """A journal and an in-memory model that saves the same outputs."""
+    """A journal and an in-memory model that saves the same outputs.
+
+    Attributes:
+        before: Contents that the model had before the last save.
+    """
 
     def __init__(self, folder, seed):
         self.folder, self.random = folder, random.Random(seed)
@@ -132,6 +136,7 @@
     start = frame_offsets(data)[-2]
     if damage == "followed by zeros":
         path.write_bytes(data + bytes(4096))
+        # The last record is intact, so no save is lost.
         pair.before = pair.model.restored()
     elif damage == "overwritten by zeros":
         path.write_bytes(data[:start] + bytes(len(data) - start))
@@ -235,6 +240,7 @@
         try:
             pair.save(context.last)
         except JournalError:
+            # The second save must fail although the operation works again.
             pair.files.__dict__.pop(context.operation, None)
         else:
             raise AssertionError("the save succeeded")
--- a/knapweedarch/codec.py
+++ b/knapweedarch/codec.py
@@ -1,4 +1,4 @@
-"""Codec for data classes as `msgpack`, tagged with the class name."""
+"""Encodes `attrs` classes as `msgpack`, tagged with their class names."""
 
 from collections.abc import Iterable
 
--- a/knapweedarch/journal.py
+++ b/knapweedarch/journal.py
@@ -3,9 +3,11 @@
 The folder contains:
 
 - `identity`: random identifier, generated once.
-- `log-<number>`: frames, each saved with one sync. Only the file with the
-  highest number is valid. Its first frame contains the index and term of the
-  preceding snapshot, the term, the vote and every entry after that snapshot.
+- `lock`: locked by the process that has the journal open.
+- `log-<number>`: records, each in one frame and saved with one sync. Only the
+  file with the highest number is valid. Its first record contains the index and
+  term of the preceding snapshot, the term, the vote and every entry after that
+  snapshot.
 - `snapshot-<index>-<term>`: application state, in one frame.
 - `*.tmp`: files that were incomplete when the process ended; ignored.
 
@@ -81,7 +83,7 @@
 def _unpack_frame(
     data: bytes, offset: int, seed: int
 ) -> tuple[int, bytes] | None:
-    """Returns the number and content of an intact frame at `offset`."""
+    """Returns the number and content of the frame at `offset` if intact."""
     if len(data) - offset < HEADER.size:
         return None
     magic, number, size, checksum = HEADER.unpack_from(data, offset)
@@ -260,7 +262,10 @@
         self.restored = Restored(self.identity, hard_state, None, (entry,))
 
     def save(self, output: Output) -> None:
-        """Persists an output with one sync.
+        """Persists an output before it returns.
+
+        Changes are appended with one sync. A snapshot, like the first output of
+        a blank journal, starts a new log file instead.
 
         Raises:
             JournalError: A file operation failed, in this or an earlier call.
--- a/knapweedarch/journal_files.py
+++ b/knapweedarch/journal_files.py
@@ -8,7 +8,11 @@
 
 
 class JournalFiles:
-    """Files in one folder; each write is durable when its call returns."""
+    """Files in one folder.
+
+    Data is on the disk when `write_new` or `append` returns. All methods raise
+    `OSError` if an operation fails.
+    """
 
     def __init__(self, folder: str | os.PathLike):
         self.folder = pathlib.Path(folder)
@@ -16,7 +20,11 @@
         self._lock_fd = -1
 
     def lock(self) -> None:
-        """Creates the folder and takes an exclusive lock on it."""
+        """Creates the folder and takes an exclusive lock on it.
+
+        Raises:
+            BlockingIOError: Another process holds the lock.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
         self._lock_fd = os.open(self.folder / "lock", flags, 0o600)
@@ -50,7 +58,7 @@
         return (self.folder / name).read_bytes()
 
     def remove(self, name: str) -> None:
-        """Deletes a file."""
+        """Removes a file from the folder."""
         os.unlink(self.folder / name)
 
     def remove_temporary(self) -> None:
--- a/knapweedarch/links.py
+++ b/knapweedarch/links.py
@@ -2,9 +2,10 @@
 
 A frame is a 4-byte length followed by that many bytes. Before the first
 message, both ends prove that they hold the shared credential (HMAC-SHA256 over
-the other end's nonce). Each end sends keep-alives when idle and closes a link
-that has received nothing for `LINK_TIMEOUT_S`, because a connection whose state
-a middlebox has dropped would otherwise stay open for ever at both ends.
+their own role and the other end's nonce). Each end sends keep-alives when idle
+and closes a link that has received nothing for `LINK_TIMEOUT_S`, because a
+connection whose state a middlebox has dropped would otherwise stay open for
+ever at both ends.
 """
 
 import hmac
@@ -22,8 +23,9 @@
 
 KEEP_ALIVE_INTERVAL_S = 0.3
 LINK_TIMEOUT_S = 1.0
-# A connection attempt to an instance that is powered off hangs. The kernel
-# resends the SYN only after 1 s, and the instance may be up long before that.
+# A connection attempt to an instance that is powered off hangs, and the kernel
+# resends the SYN only after 1 s. By then the instance may have been up for most
+# of that time, and a new attempt would have reached it.
 CONNECT_TIMEOUT_S = 0.4
 MAX_FRAME_BYTES = 8 * 1024 * 1024
 MAX_QUEUED_FRAMES = 4096
@@ -40,7 +42,7 @@
 
 @attrs.frozen
 class Proof:
-    """Reply to a challenge."""
+    """Reply to a challenge: HMAC-SHA256 of the sender's role and the nonce."""
 
     digest: bytes
 
@@ -75,6 +77,8 @@
 
 _FRAME_CODEC = create_codec(Challenge, Proof, Ping, Call, Reply, Send)
 _PING_FRAME = _FRAME_CODEC.encode(Ping())
+# Called with the link and a received message; returns the reply to a call. A
+# call for which it returns None gets no reply.
 Handler = Callable[["Link", object], Awaitable[object | None]]
 
 
@@ -82,7 +86,13 @@
     """An authenticated connection between two processes.
 
     Links are created by `connect` and `serve`, and transfer messages while
-    `run` is running.
+    `run` is running. A link closes itself if an incoming message is malformed
+    or too large, if the send queue is full, or if for `LINK_TIMEOUT_S` nothing
+    is received or a write does not finish.
+
+    Attributes:
+        peer: `host:port` of the peer if created by `connect`, else empty.
+        closed: Set once the link is closed.
     """
 
     def __init__(
@@ -106,6 +116,7 @@
         """Queues a message; discards it if the link is closed.
 
         Raises:
+            CodecError: The message's class is unknown to the link's codec.
             LinkError: The message is too large, or the send queue is full
                 because the peer reads too slowly.
         """
@@ -115,8 +126,11 @@
         """Sends a message and waits for its reply.
 
         Raises:
-            LinkError: The link closed or no reply arrived in time. The peer
-                may have processed the message.
+            CodecError: The message's class is unknown to the link's codec, or
+                the reply is malformed.
+            LinkError: The message could not be queued (see `send`), the link
+                closed, or no reply arrived within `timeout_s` seconds. The
+                peer may have processed the message.
         """
         if self.closed.is_set():
             raise LinkError("the link is closed")
@@ -283,7 +297,9 @@
 
         Raises:
             CredentialError: The peer does not hold the credential.
-            LinkError: The connection failed or the peer did not reply in time.
+            LinkError: The connection failed, or the handshake took longer than
+                `LINK_TIMEOUT_S`.
+            CodecError: The peer sent a malformed frame.
         """
         try:
             with anyio.fail_after(LINK_TIMEOUT_S):
@@ -317,6 +333,7 @@
         LinkError: The connection failed, was not established within
             `CONNECT_TIMEOUT_S`, or failed during the handshake.
         CredentialError: The peer holds a different credential.
+        CodecError: The peer sent a malformed frame during the handshake.
     """
     try:
         with anyio.fail_after(CONNECT_TIMEOUT_S):
--- a/knapweedarch/replica.py
+++ b/knapweedarch/replica.py
@@ -66,11 +66,17 @@
 MAX_ENTRY_BYTES = 4 * 1024 * 1024
 MAX_UNCOMMITTED_ENTRIES = 20_000
 MAX_UNCOMMITTED_BYTES = 64 * 1024 * 1024
+# Limits the entries kept before a snapshot beside `ReplicaConfig.kept_entries`.
 MAX_KEPT_ENTRY_BYTES = 8 * 1024 * 1024
 
 
 class Replica(ReplicaStatus):
-    """State machine of one member of the replicated log."""
+    """One member of the replicated log.
+
+    Times are seconds on the driver's monotonic clock. The clocks of the members
+    may show different times; the leader lease tolerates clock rates that differ
+    by 5%.
+    """
 
     # Driver interface.
 
@@ -109,8 +115,8 @@
 
         Raises:
             NotLeaderError: This replica is not the leader.
-            ReplicaError: The entry is too large, or too many entries are
-                uncommitted.
+            ReplicaError: The entry is too large, or too many entries or bytes
+                are uncommitted.
         """
         self._advance(now)
         if self._leadership is None:
@@ -122,19 +128,20 @@
             >= MAX_UNCOMMITTED_ENTRIES
             or self._log.uncommitted_bytes + len(data) > MAX_UNCOMMITTED_BYTES
         ):
-            raise ReplicaError("too many uncommitted entries")
+            raise ReplicaError("too many uncommitted entries or bytes")
         return self._append_own(EntryKind.DATA, data)
 
     def propose_members(self, members: tuple[Member, ...], now: float) -> int:
         """Appends a member list; returns the index of its entry.
 
         New members must be added as learners; the leader promotes a learner
-        to voter once it holds every committed entry.
+        to voter once it holds every committed entry. With
+        `ReplicaConfig.voters` set, it does so only up to that number of voters.
 
         Raises:
             NotLeaderError: This replica is not the leader.
-            MembershipError: More than one voter differs, a new voter is not a
-                caught-up learner, or another change is in progress.
+            MembershipError: `check_change` rejects the list, another change is
+                in progress, or no entry of the leader's term is committed yet.
         """
         self._advance(now)
         leadership = self._leadership
@@ -144,7 +151,10 @@
             self._log.commit_index < leadership.first_index
             or self.members_pending
         ):
-            raise MembershipError("another membership change is uncommitted")
+            raise MembershipError(
+                "another membership change or the first entry of the leader's"
+                " term is uncommitted"
+            )
         check_change(self.members, members, self._caught_up)
         index = self._append_own(EntryKind.MEMBERS, encode_members(members))
         leadership.update_members()
@@ -238,7 +248,8 @@
         self, term: int, leader: str | None, now: float
     ) -> None:
         if self._leadership is not None:
-            # This replica's own leader lease may not have expired yet.
+            # This replica's own leader lease may not have expired yet, so it
+            # grants no votes until it has.
             self._election.record_leader_contact(now)
             self._leadership = self.leader_since = self.leader = None
         if term > self.term:
@@ -416,10 +427,13 @@
             self.propose_members(members, now)
 
     def _silence(self, identity: str, now: float) -> float:
-        """Returns the seconds since a member last answered."""
+        """Returns the seconds since a member last answered this leader.
+
+        The time before this replica became leader does not count.
+        """
         leadership = self._leadership
         peer = leadership.peer(identity)
-        # The leader has no entry for itself among its peers.
+        # The leader is not among its own peers and is never silent to itself.
         return (
             now - max(peer.last_contact, leadership.started_at) if peer else 0.0
         )
@@ -440,6 +454,10 @@
     def _should_ignore_reply(
         self, identity: str, term: int, now: float
     ) -> bool:
+        """Returns whether a reply does not belong to this leadership.
+
+        A member's reply with a newer term makes this replica a follower.
+        """
         known = any(m.identity == identity for m in self.members)
         if known and term > self.term:
             self._become_follower(term, None, now)
@@ -450,6 +468,7 @@
     def _accept_leader(
         self, sender: str, request: AppendRequest | SnapshotPart, now: float
     ) -> bool:
+        """Returns whether the request is current; if so, follows its sender."""
         if request.term < self.term:
             return False
         self._become_follower(request.term, sender, now)
--- a/knapweedarch/replica_election.py
+++ b/knapweedarch/replica_election.py
@@ -6,8 +6,9 @@
 from knapweedarch.replica_log import ReplicaLog
 from knapweedarch.replica_messages import HardState, VoteReply, VoteRequest
 
-# A pre-vote changes no state of the voters, and a rejected one was usually just
-# too early, so it is retried soon. A vote waits for a sync at each voter.
+# Ranges of the random delay before another attempt. A pre-vote changes no state
+# of the voters, and a rejected one was usually just too early, so it is retried
+# soon. A vote waits for a sync at each voter, so its delay is longer.
 PRE_VOTE_RETRY_S = (0.1, 0.3)
 VOTE_RETRY_S = (0.3, 0.6)
 
@@ -15,6 +16,8 @@
 class Election:
     """Term, vote and election timer of one replica.
 
+    Times are seconds on the driver's clock.
+
     Attributes:
         hard_state: Term and vote.
         just_restarted: Whether the process has not heard from a leader since
@@ -26,6 +29,8 @@
         self._saved = hard_state
         self._identity = identity
         self._random = random.Random(seed)
+        # Identities that granted a vote in this term; the key is whether it is
+        # a pre-vote.
         self._votes: dict[bool, set[str]] = {True: set(), False: set()}
         self.just_restarted = False
         self._restarted_voters: set[str] = set()
@@ -34,7 +39,7 @@
 
     @property
     def term(self) -> int:
-        """Newest term seen."""
+        """Newest known term."""
         return self.hard_state.term
 
     def start_restart_wait(self, now: float) -> None:
@@ -144,9 +149,10 @@
         return self.just_restarted and others <= self._restarted_voters
 
     def grant(self, request: VoteRequest, log: ReplicaLog, now: float) -> bool:
-        """Decides on a pre-vote or on a vote in the current term.
+        """Returns whether to grant a pre-vote, or a vote in the current term.
 
-        A candidate whose log is behind this one gets no vote, because it may
+        A granted vote is recorded in `hard_state`; a pre-vote is not. A
+        candidate whose log is behind this one gets no vote, because it may
         lack committed entries.
         """
         newest = (request.last_term, request.last_index)
--- a/knapweedarch/replica_follower.py
+++ b/knapweedarch/replica_follower.py
@@ -1,4 +1,4 @@
-"""Handling of entries and snapshots that a replica receives."""
+"""Handling of entries and snapshots that a follower receives."""
 
 from knapweedarch.replica_log import ReplicaLog
 from knapweedarch.replica_messages import (
@@ -9,7 +9,7 @@
 
 
 class Follower:
-    """Applies entries and snapshots from the current term's leader to the log.
+    """Adds entries and snapshots from the current term's leader to the log.
 
     Attributes:
         installed: Snapshot that replaced the log and has not been returned by
@@ -23,11 +23,16 @@
         self._buffer = bytearray()
 
     def append_entries(self, request: AppendRequest) -> tuple[bool, int]:
-        """Appends entries to the log if it matches the leader's.
+        """Adds entries if the log matches the leader's before the first one.
+
+        Conflicting entries are removed, and the commit index is advanced.
 
         Returns:
             True and the last matching index, or False and the index from
             which the leader should retry.
+
+        Raises:
+            ReplicaError: An entry conflicts with a committed one.
         """
         previous = request.previous_index
         if previous > self._log.last_index:
--- a/knapweedarch/replica_leadership.py
+++ b/knapweedarch/replica_leadership.py
@@ -17,6 +17,7 @@
 )
 
 HEARTBEAT_S = 0.1
+# Range of the random election timeout.
 MIN_ELECTION_S = 0.6
 MAX_ELECTION_S = 1.2
 # A voter refuses votes for `MIN_ELECTION_S` after it heard from the leader. The
@@ -35,6 +36,8 @@
 class Peer:
     """Replication progress of another member.
 
+    Times are seconds on the leader's clock, or `-inf` if there was none.
+
     Attributes:
         member: The member.
         next_index: First entry to send.
@@ -69,6 +72,8 @@
 class Leadership:
     """Leader state for one term.
 
+    Times are seconds on the leader's clock.
+
     Attributes:
         term: Term of the leader.
         started_at: When the replica became leader.
@@ -98,7 +103,7 @@
             self._peers[member.identity].member = member
 
     def peer(self, identity: str) -> Peer | None:
-        """Returns the replication progress of a member."""
+        """Returns the progress of another member, or None if it is unknown."""
         return self._peers.get(identity)
 
     def _quorum_value(self, own: float, value: Callable[[str], float]) -> float:
@@ -122,7 +127,10 @@
         return self.quorum_last_contact(now) + LEADER_LEASE_S
 
     def transfer_target(self) -> str | None:
-        """Returns the most recently heard voter that holds the whole log."""
+        """Returns the name of a voter that holds the whole log, if any.
+
+        Of several, it is the one that answered the newest request.
+        """
         eligible = [
             peer
             for peer in self._peers.values()
@@ -133,15 +141,16 @@
         return max(eligible, key=lambda peer: peer.last_contact).member.name
 
     def quorum_lost(self, now: float) -> bool:
-        """Returns whether no majority has answered within the limit."""
+        """Returns whether no majority answered for `MAX_ELECTION_S`."""
         last_contact = max(self.quorum_last_contact(now), self.started_at)
         return now - last_contact >= MAX_ELECTION_S
 
     def committable_index(self) -> int:
         """Returns the last index that a majority of voters has synced.
 
-        Entries of earlier terms are never committed by counting replicas: a
-        later leader may still replace an entry that a majority holds.
+        If that entry is of an earlier term, the result is 0. Entries of earlier
+        terms are never committed by counting replicas: a later leader may still
+        replace an entry that a majority holds.
         """
         index = self._quorum_value(
             self._log.last_index, lambda i: self._peers[i].match_index
--- a/knapweedarch/replica_log.py
+++ b/knapweedarch/replica_log.py
@@ -16,11 +16,14 @@
 class ReplicaLog:
     """Entries after a base index, the newest snapshot and unsaved changes.
 
+    The base index may be lower than that of the snapshot, because compaction
+    keeps some entries before the snapshot.
+
     Attributes:
         snapshot: Newest snapshot, if any.
-        commit_index: Last entry known to be committed.
-        bytes_since_snapshot: Size of the data of entries after the snapshot.
-        uncommitted_bytes: Size of the data of entries not yet committed.
+        commit_index: Index of the last entry known to be committed.
+        bytes_since_snapshot: Data of the entries after the snapshot, in bytes.
+        uncommitted_bytes: Data of the entries not yet committed, in bytes.
     """
 
     def __init__(self, restored: Restored):
@@ -69,7 +72,7 @@
         return self._member_lists[-1][0]
 
     def term_at(self, index: int) -> int | None:
-        """Returns the term of an entry, or None if it is not in memory."""
+        """Returns the term of an entry, or None if it is unknown."""
         if index == self._base_index:
             return self._base_term
         if self._base_index < index <= self.last_index:
@@ -86,7 +89,10 @@
         return self.between(snapshot.index + 1, self.last_index)
 
     def batch(self, first: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Returns entries from `first` up to `max_bytes`, but at least one."""
+        """Returns the entries from `first` on whose data fits `max_bytes`.
+
+        The first entry is returned even if it is larger.
+        """
         size, index = 0, first
         while index <= self.last_index:
             size += len(self._entries[index - self._base_index - 1].data)
@@ -99,7 +105,8 @@
         for entry in entries:
             if entry.index != self.last_index + 1:
                 raise ReplicaError(
-                    f"entry {entry.index} does not follow {self.last_index}"
+                    f"entry {entry.index} does not follow entry"
+                    f" {self.last_index}"
                 )
             self._entries.append(entry)
             self.bytes_since_snapshot += len(entry.data)
@@ -110,7 +117,11 @@
                 )
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Appends entries whose indexes continue the log."""
+        """Appends entries.
+
+        Raises:
+            ReplicaError: The indexes do not continue the log.
+        """
         self._add(entries)
 
     def merge(self, entries: Sequence[Entry]) -> None:
@@ -138,7 +149,11 @@
         self.commit_index = max(self.commit_index, index)
 
     def truncate(self, index: int) -> None:
-        """Removes the entries from `index` on."""
+        """Removes the entries from `index` on.
+
+        Raises:
+            ReplicaError: The entry is committed.
+        """
         if index <= self.commit_index:
             raise ReplicaError(f"cannot replace committed entry {index}")
         dropped = self._entries[index - self._base_index - 1 :]
@@ -170,7 +185,14 @@
     def compact(
         self, index: int, data: bytes, keep_entries: int, keep_bytes: int
     ) -> Snapshot:
-        """Creates a snapshot and removes all but the last entries before it.
+        """Creates a snapshot after `index` and removes entries up to it.
+
+        Args:
+            index: Index of the last entry that the snapshot covers.
+            data: Application state after that entry.
+            keep_entries: Number of entries up to `index` to keep in memory.
+            keep_bytes: Maximum data of these entries in bytes; fewer entries
+                are kept if they exceed it.
 
         Raises:
             ReplicaError: The entry is uncommitted or no longer in memory.
@@ -196,7 +218,10 @@
         return self.snapshot
 
     def take_unsaved(self) -> tuple[int | None, tuple[Entry, ...]]:
-        """Returns the unsaved truncation and entries, and clears them."""
+        """Returns the first index to remove, if any, and the new entries.
+
+        Each change is returned only once.
+        """
         truncate_from, self._truncate_from = self._truncate_from, None
         entries = self.between(self._saved_index + 1, self.last_index)
         self._saved_index = self.last_index
--- a/knapweedarch/replica_membership.py
+++ b/knapweedarch/replica_membership.py
@@ -1,4 +1,4 @@
-"""Membership change rules and the replacement of lost identities."""
+"""Membership change rules, and the changes that a leader proposes itself."""
 
 from collections.abc import Callable, Mapping
 
@@ -35,7 +35,9 @@
     """Checks that at most one voter differs, so that majorities overlap.
 
     Raises:
-        MembershipError: The change is not allowed.
+        MembershipError: The new list has no voter, or the same identity or
+            voter name twice; more than one voter is added or removed; or a new
+            voter is not a caught-up learner.
     """
     before = {m.identity for m in old if m.voter}
     after = {m.identity for m in new if m.voter}
@@ -72,7 +74,8 @@
         members: Current list.
         announced: Newest announced identity of each name.
         own_identity: Identity of the leader.
-        caught_up: Returns whether an identity holds every committed entry.
+        caught_up: Returns whether an identity holds every committed entry and
+            has answered the leader recently.
         silence: Returns the seconds since an identity answered the leader.
         voters: Target number of voters; if 0, members that ask to join are
             not admitted.
@@ -98,7 +101,7 @@
 
 
 def _is_joining(members: Members, learner: Member) -> bool:
-    """Returns whether a learner does not replace a voter of its name."""
+    """Returns whether no voter has the learner's name."""
     return not any(m.name == learner.name and m.voter for m in members)
 
 
@@ -168,8 +171,12 @@
 ) -> Members | None:
     """Replaces a lost learner, or advances a learner towards voting.
 
-    The lost learner may be the only member left with its name, so the same
-    change adds its successor. This is safe, as learners count in no majority.
+    Once a learner has caught up, one change removes the voter that it replaces,
+    if any, and the next one promotes it, since only one voter may differ.
+
+    A lost learner may be the only member left with its name, so the change that
+    removes it also adds its successor. This is safe, as learners count in no
+    majority.
     """
     if peer is not None and peer.identity != learner.identity:
         others = tuple(m for m in members if m is not learner)
--- a/knapweedarch/replica_messages.py
+++ b/knapweedarch/replica_messages.py
@@ -8,7 +8,13 @@
 
 
 class EntryKind(enum.IntEnum):
-    """Content type of a log entry."""
+    """Content type of a log entry.
+
+    Attributes:
+        NOOP: No content; each leader's first entry.
+        DATA: Data of the application.
+        MEMBERS: Member list.
+    """
 
     NOOP = 0
     DATA = 1
@@ -46,7 +52,14 @@
 
 @attrs.frozen
 class Entry:
-    """A log entry."""
+    """A log entry.
+
+    Attributes:
+        index: Position in the log; the first entry has index 1.
+        term: Term of the leader that appended it.
+        kind: Type of `data`.
+        data: Content.
+    """
 
     index: int
     term: int
@@ -69,7 +82,14 @@
 
 @attrs.frozen
 class Snapshot:
-    """Application state after the entry `index`."""
+    """Application state after the entry `index`.
+
+    Attributes:
+        index: Index of the last entry that the snapshot covers.
+        term: Term of that entry.
+        members: Member list after that entry.
+        data: Application state, as encoded by the driver.
+    """
 
     index: int
     term: int
@@ -110,7 +130,8 @@
         last_term: Term of its last entry.
         pre: Whether this is a pre-vote.
         handed_over: Whether the leader has transferred its leadership and
-            thereby given up its lease, so that voters need not wait for it.
+            thereby given up its lease, so that voters need not wait until
+            the lease ends.
         all_restarted: Whether every voter has restarted since it last heard
             from a leader, so that no process can hold a lease.
     """
@@ -131,11 +152,11 @@
 
 @attrs.frozen
 class HandOver:
-    """Request of a leader that another voter starts an election at once.
+    """Request from a leader to another voter to start an election at once.
 
     Attributes:
         identity: Identity of the leader.
-        term: Term of the leader, which has given up its lease in it.
+        term: Term in which the leader has given up its lease.
     """
 
     identity: str
@@ -174,7 +195,8 @@
         previous_term: Term of that entry.
         entries: Entries in order.
         commit_index: Commit index of the leader.
-        sent_at: Leader's clock at the time of sending, echoed in the reply.
+        sent_at: When it was sent, in seconds on the leader's clock; echoed in
+            the reply.
     """
 
     identity: str
@@ -221,7 +243,8 @@
         offset: Offset of the part in bytes.
         total: Size of the snapshot in bytes.
         data: Content of the part.
-        sent_at: Leader's clock at the time of sending, echoed in the reply.
+        sent_at: When it was sent, in seconds on the leader's clock; echoed in
+            the reply.
     """
 
     identity: str
@@ -266,6 +289,7 @@
     | SnapshotReply
 )
 
+# Codec of the messages between replicas.
 MESSAGES = create_codec(
     *(VoteRequest, VoteReply, AppendRequest, AppendReply),
     *(SnapshotPart, SnapshotReply, HandOver),
--- a/knapweedarch/replica_status.py
+++ b/knapweedarch/replica_status.py
@@ -22,8 +22,9 @@
 
     Attributes:
         name: Name of this member.
-        kept_entries: Number of entries before the snapshot kept in memory, so
-            that a slightly lagging member does not need the whole snapshot.
+        kept_entries: Maximum number of entries before the snapshot that stay
+            in memory, so that a slightly lagging member does not need the
+            whole snapshot.
         voters: Target number of voters. Members that ask to join become voters
             up to this number. If 0, only known members that return with a new
             identity are admitted.
@@ -43,7 +44,8 @@
         term: Newest known term.
         role: Role in the current term.
         leader: Name of the leader of the current term, if known.
-        leader_since: When this replica became leader; None if it is not.
+        leader_since: When this replica became leader, in seconds on the
+            driver's clock; None if it is not the leader.
     """
 
     def __init__(self, cfg: ReplicaConfig, restored: Restored, seed: int):
@@ -118,6 +120,7 @@
         return end if end > now else 0.0
 
     def _caught_up(self, identity: str) -> bool:
+        """Returns whether a member holds every committed entry and answers."""
         peer = self._leadership and self._leadership.peer(identity)
         return bool(
             peer
