--- a/knapweedarch/rule_kinds.py
+++ b/knapweedarch/rule_kinds.py
@@ -12,9 +12,9 @@
     ServiceRule,
 )
 
-MAX_ITEMS = 64
-MAX_RATE = 1_000_000.0
-MAX_CONCURRENT = 100_000
+MAX_LIST_ITEMS = 64
+MAX_REQUESTS_PER_S = 1_000_000.0
+MAX_CONCURRENT_REQUESTS = 100_000
 MIN_SHARE, MAX_SHARE = 0.01, 1_000.0
 MIN_TIME_S, MAX_TIME_S = 0.01, 3_600.0
 
@@ -118,8 +118,8 @@
             except InvalidValueError as exc:
                 raise InvalidValueError(exc.reason, offset) from exc
             offset += len(item) + 1
-        if len(found) > MAX_ITEMS:
-            raise InvalidValueError(f"more than {MAX_ITEMS} items")
+        if len(found) > MAX_LIST_ITEMS:
+            raise InvalidValueError(f"more than {MAX_LIST_ITEMS} items")
         return tuple(found)
 
     return parse
@@ -162,9 +162,11 @@
             "class": Field(
                 "priority", _parse_priority, lambda v: v.name.lower()
             ),
-            "rate": Field("rate", _number_parser(0, MAX_RATE), _format_number),
+            "rate": Field(
+                "rate", _number_parser(0, MAX_REQUESTS_PER_S), _format_number
+            ),
             "concurrent": Field(
-                "concurrent", _integer_parser(0, MAX_CONCURRENT), str
+                "concurrent", _integer_parser(0, MAX_CONCURRENT_REQUESTS), str
             ),
             "share": Field(
                 "share", _number_parser(MIN_SHARE, MAX_SHARE), _format_number
