--- a/knapweedarch/cli.py
+++ b/knapweedarch/cli.py
@@ -44,7 +44,7 @@
 EXIT_UNREACHABLE = 3
 EXIT_UNKNOWN = 4
 MAX_VERSION = 2**63 - 1
-MAX_ID_CHARACTERS = 128
+MAX_ARGUMENT_CHARACTERS = 128
 INTERRUPTED_TEXT = (
     "the command was interrupted; if it sent an order, the outcome is unknown: "
     "resend with the same request id"
@@ -108,10 +108,10 @@
     text = rule_files.read_rules_text(file)
     reply = api.status(api.load(settings))
     changes = diff_rules(parse_rules(reply.rules_text), parse_rules(text))
-    noted = rule_files.write_base_version(file, reply.rules_version)
+    base_written = rule_files.write_base_version(file, reply.rules_version)
     same_text = text == reply.rules_text
     reports.print_diff(reply.rules_version, changes, same_text, json)
-    if not noted:
+    if not base_written:
         reports.warn(f"cannot write {file}.base; give --base to apply")
     return EXIT_DONE
 
@@ -243,10 +243,10 @@
 def _check_texts(*texts: str) -> None:
     """Rejects texts that no endpoint can have, such as malformed UTF-8."""
     for text in texts:
-        if not text.isprintable() or len(text) > MAX_ID_CHARACTERS:
+        if not text.isprintable() or len(text) > MAX_ARGUMENT_CHARACTERS:
             raise UsageError(
-                f"{text[:MAX_ID_CHARACTERS]!r}; allowed: up to "
-                f"{MAX_ID_CHARACTERS} printable characters"
+                f"{text[:MAX_ARGUMENT_CHARACTERS]!r}; allowed: up to "
+                f"{MAX_ARGUMENT_CHARACTERS} printable characters"
             )
 
 
