--- a/features/steps/observability_steps.py
+++ b/features/steps/observability_steps.py
@@ -195,8 +195,8 @@
 @then('only the histogram "{name}" has 1 request')
 def check_histogram(context, name):
     histograms = context.proxy_metrics.histograms
-    held = {k: h.buckets()[-1][1] for k, h in histograms.items()}
-    ends = {k: n for k, n in held.items() if k.startswith("answer_time")}
+    counts = {k: h.buckets()[-1][1] for k, h in histograms.items()}
+    ends = {k: n for k, n in counts.items() if k.startswith("answer_time")}
     assert ends == {name: 1}, ends
 
 
--- a/knapweedarch/api.py
+++ b/knapweedarch/api.py
@@ -89,9 +89,9 @@
     return Order("retire", (endpoint_id,))
 
 
-def announce_order(endpoint_id: str, *given: str) -> Order:
+def announce_order(endpoint_id: str, *options: str) -> Order:
     """Returns the order that announces an endpoint."""
-    return Order("announce", (endpoint_id, *given))
+    return Order("announce", (endpoint_id, *options))
 
 
 def load(path: str | pathlib.Path) -> Settings:
--- a/knapweedarch/rules.py
+++ b/knapweedarch/rules.py
@@ -132,7 +132,7 @@
             column = first.column + len(first.text)
             self.add_fault(number, column, f"the {first.text} has no name")
             return
-        before = len(self.faults)
+        faults_before = len(self.faults)
         name = self._convert(number, tokens[1], tokens[1].text, parse_name)
         self._register_name(number, first.text, tokens[1])
         values = self._read_fields(number, tokens[2:], kind)
@@ -143,7 +143,7 @@
                 self.add_fault(
                     number, first.column, f"field {key!r} is missing"
                 )
-        if len(self.faults) == before:
+        if len(self.faults) == faults_before:
             rule = kind.rule_class(name=name, asked_by=asked_by, **values)
             self._rules[first.text].append(rule)
 
