--- a/knapweedarch/events.py
+++ b/knapweedarch/events.py
@@ -84,7 +84,7 @@
     Event(207, "members_changed", _I, "The list of members changed."),
     Event(208, "proposal_failed", _W, "A change was not appended to the log."),
     Event(209, "endpoint_status", _I, "The status of an endpoint changed."),
-    Event(301, "lease_granted", _I, "The router holds a lease again."),
+    Event(301, "lease_granted", _I, "The router acquired a lease."),
     Event(302, "lease_expired", _W, "The lease expired; no new work starts."),
     Event(303, "lease_renewal_failed", _W, "A lease renewal was not granted."),
     Event(306, "grant_older", _E, "The control group returned an older state."),
@@ -97,7 +97,10 @@
         414, "load_not_confirmed", _W, "A runner did not report new weights."
     ),
     Event(
-        415, "weights_wanted", _I, "A router received a named weights version."
+        415,
+        "weights_wanted",
+        _I,
+        "A router received the weights versions that runners must load.",
     ),
     Event(
         416, "feed_found", _I, "The event feed of a runner or store responds."
@@ -143,7 +146,12 @@
         702, "rules_conflict", _W, "A rule file has an outdated base version."
     ),
     Event(705, "deployment_accepted", _I, "A configuration was accepted."),
-    Event(706, "weights_named", _I, "A weights version was named."),
+    Event(
+        706,
+        "weights_named",
+        _I,
+        "A weights version that runners of a model must load was named.",
+    ),
     Event(703, "endpoint_retired", _I, "An operator retired an endpoint."),
     Event(704, "endpoint_restored", _I, "An operator announced an endpoint."),
 )
--- a/knapweedarch/metrics.py
+++ b/knapweedarch/metrics.py
@@ -1,7 +1,7 @@
 """Registry of metrics, sent to `statsd` by UDP and kept in the process.
 
 `docs/METRICS.md` is generated from the registry. An unregistered name raises
-KeyError, so a misspelt name fails in the first scenario that uses it.
+KeyError, so a misspelled name fails in the first scenario that uses it.
 `Metrics.page` returns all metrics in the Prometheus text format.
 """
 
@@ -48,7 +48,8 @@
     Attributes:
         name: Name without the prefix of the process.
         kind: Type of the metric.
-        text: Description of the value, with its unit.
+        text: Description of the value, with its unit. Timings are in seconds
+            on the metrics page and in milliseconds in statsd.
         family: Name shared by metrics that differ only in label values.
         labels: Labels that distinguish it within the family.
     """
@@ -78,14 +79,20 @@
     Metric("journal.save", _T, "Duration of one journal write with its sync."),
     Metric("deployment.version", _G, "Version of the configuration in use."),
     Metric("lease.left_s", _G, "Seconds until the lease expires."),
-    Metric("loads.age_s", _G, "Age of the loads reported by other routers."),
+    Metric(
+        "loads.age_s",
+        _G,
+        "Age in seconds of the loads reported by other routers.",
+    ),
     Metric(
         "feeds.followed", _G, "Runners and stores with a connected event feed."
     ),
     Metric("tokens.cached", _C, "Prompt tokens found in a runner's cache."),
     Metric("tokens.computed", _C, "Prompt tokens computed by runners."),
     Metric(
-        "tokens.wasted", _C, "Prompt tokens missing from the expected cache."
+        "tokens.wasted",
+        _C,
+        "Prompt tokens expected in a runner's cache but not found there.",
     ),
     Metric("cancelled", _C, "Requests whose caller disconnected early."),
     Metric(
@@ -101,7 +108,7 @@
     Metric("rules.version", _G, "Version of the rules in use."),
     Metric("endpoints.active", _G, "Endpoints that may receive new requests."),
     Metric("endpoints.announced", _C, "Announcements received."),
-    Metric("feed.lost", _C, "Event feeds of runners that failed."),
+    Metric("feed.lost", _C, "Failures of the event feeds of runners."),
     Metric("orders.failed", _C, "Orders that a runner did not confirm."),
     Metric("member.leads", _G, "1 while this member leads, else 0."),
     Metric("member.term", _G, "Term of this member."),
@@ -242,7 +249,7 @@
     Args:
         host: IP address of the statsd server; None sends nothing.
         port: UDP port of the server.
-        prefix: Prepended to each name, with a full stop.
+        prefix: Prepended to each name sent to statsd, with a full stop.
     """
     if host is None:
         return Metrics(None)
