--- a/features/settings.feature
+++ b/features/settings.feature
@@ -51,7 +51,7 @@
       listen.port: -1; allowed: an integer from 0 to 65535
       endpoint_credential_file: 'none' (No such file or directory); allowed: a readable file
       distances_ms.a: -1; allowed: a number from 0 to 10000
-      distances_ms.b c: a data centre's name; allowed: 1 to 64 of A-Z a-z 0-9 _ -, starting with a letter or digit
+      distances_ms.b c: invalid data centre name; allowed: 1 to 64 of A-Z a-z 0-9 _ -, starting with a letter or digit
       class_fill.guest: 0; allowed: a number from 0.05 to 10
       class_fill.nobody: unknown key; allowed: availability, batch, guest, interactive
       drain_s: 'x'; allowed: a number from 0 to 3600
--- a/knapweedarch/settings.py
+++ b/knapweedarch/settings.py
@@ -41,7 +41,10 @@
 def seed_addresses(
     seeds: Iterable[Address],
 ) -> tuple[MemberAddress, ...]:
-    """Returns addresses for seed members whose names are not yet known."""
+    """Returns the seeds under the names `host:port`.
+
+    Their member names are not yet known.
+    """
     return tuple(
         MemberAddress(f"{s.host}:{s.port}", s.host, s.port) for s in seeds
     )
@@ -51,6 +54,9 @@
 class MemberSettings:
     """Settings of a control member.
 
+    A settings file cannot set `seeds`, `bootstrap`, `voters`, `lease_s` and
+    `silent_s`; only a program that creates this object can.
+
     Attributes:
         role: Always `member`.
         name: Name of this member; must be in `members`.
@@ -106,15 +112,16 @@
         log_level: Lowest level that is logged.
         listen: Address on which callers and endpoints connect by HTTP.
         endpoint_credential: Secret that endpoints send in announcements.
-        distances_ms: One-way delay to each data centre in milliseconds.
-        class_fill: For each class, the number of requests in a runner's batch
-            and queue, as a fraction of its slots, up to which the class is
-            sent there.
+        distances_ms: One-way delay to each data centre in milliseconds; that
+            to the router's own data centre is always 0.
+        class_fill: For each class, how full a runner may be to be sent its
+            requests: the number of requests in the runner's batch and queue,
+            divided by its slots.
         drain_s: Maximum duration of a graceful shutdown in seconds.
         prefill_tokens_s: Prompt tokens that one runner computes per second.
         request_s: Mean time in seconds that a request occupies a slot of a
             runner's batch.
-        max_body_bytes: Maximum size of a request body.
+        max_body_bytes: Maximum size of a request body in bytes.
         max_streams: Maximum number of concurrent requests.
         queue_limit: Maximum number of requests that wait for an endpoint.
     """
@@ -267,7 +274,7 @@
             found[key] = section.number(key, 0, 10_000)
         else:
             section.get(key, "", lambda v: True)
-            section.add_fault(key, "a data centre's name", NAME_ALLOWED)
+            section.add_fault(key, "invalid data centre name", NAME_ALLOWED)
     return found
 
 
@@ -356,7 +363,7 @@
         data = path.read_bytes()
         if len(data) > MAX_FILE_BYTES:
             raise SettingsError(
-                [f"{path}: {len(data)} bytes; allowed: {MAX_FILE_BYTES}"]
+                [f"{path}: {len(data)} bytes; allowed: up to {MAX_FILE_BYTES}"]
             )
         values = json5.loads(data.decode(), allow_duplicate_keys=False)
     except OSError as exc:
--- a/knapweedarch/settings_reader.py
+++ b/knapweedarch/settings_reader.py
@@ -9,7 +9,14 @@
 
 
 class Section:
-    """An object of a settings file, whose faults are added to a list."""
+    """An object of a settings file, whose faults are added to a list.
+
+    Args:
+        values: The object as parsed.
+        path: Path of the object in the file, used in faults; empty for the
+            whole file.
+        faults: List to which faults are added.
+    """
 
     def __init__(self, values: dict, path: str, faults: list[str]):
         self._values = values
@@ -26,7 +33,13 @@
         return list(self._values)
 
     def add_fault(self, key: str, seen: str, allowed: str) -> None:
-        """Records a fault of the value of a key."""
+        """Records a fault of a key.
+
+        Args:
+            key: The key.
+            seen: What was found, such as the value.
+            allowed: What is allowed instead.
+        """
         self._faults.append(
             f"{self._join_path(key)}: {seen}; allowed: {allowed}"
         )
@@ -39,7 +52,16 @@
         default: object = _REQUIRED,
         secret: bool = False,
     ):
-        """Returns a value; if invalid, records a fault and returns None."""
+        """Returns a value; if invalid, records a fault and returns None.
+
+        Args:
+            key: The key.
+            allowed: Description of the allowed values, used in the fault.
+            is_valid: Returns whether a value is allowed.
+            default: Returned if the key is missing; without a default, a
+                missing key is a fault.
+            secret: Whether the fault must not show the value.
+        """
         self._known_keys.add(key)
         if key not in self._values:
             if default is not _REQUIRED:
