--- a/features/command_line.feature
+++ b/features/command_line.feature
@@ -112,7 +112,8 @@
       | announce runner-1 |
 
   Scenario: A command that breaks off does not claim that nothing was done
-    # An unhandled exception would exit with code 1: nothing was done.
+    # An unhandled exception would exit with code 1, which means that nothing was
+    # done.
     Given the next answer is lost by a fault in the tool
     When the tool runs "apply FILE --base 1"
     Then it exits with 4 and warns "resend with the same request id"
--- a/knapweedarch/api.py
+++ b/knapweedarch/api.py
@@ -59,7 +59,7 @@
 def check_request_id(request_id: str, order: Order) -> None:
     """Checks that an id was created for this order.
 
-    The members reject a known id with another order, but forget an id after
+    The members refuse a known id with another order, but forget an id after
     1,000 newer orders. Checking here finds a mistake before anything is sent.
 
     Raises:
@@ -90,7 +90,7 @@
 
 
 def announce_order(endpoint_id: str, *options: str) -> Order:
-    """Returns the order that announces an endpoint."""
+    """Returns the order that announces an endpoint with these options."""
     return Order("announce", (endpoint_id, *options))
 
 
@@ -98,7 +98,7 @@
     """Loads a settings file.
 
     Raises:
-        SettingsError: The file is invalid; lists all its faults.
+        SettingsError: The file is invalid; the error lists all its faults.
     """
     return settings_files.load_settings(path)
 
@@ -154,6 +154,9 @@
 ) -> EndpointAccepted | TableFull:
     """Announces an endpoint and ends its retirement.
 
+    The caller checks a given request id with `check_request_id`: the id may
+    depend on options that are not known here.
+
     Raises:
         ControlError: `unreachable`, `unknown_outcome` or `refused`.
     """
@@ -167,6 +170,7 @@
     """Retires an endpoint until an operator announces it again.
 
     Raises:
+        RequestIdError: The id belongs to another order; nothing was sent.
         ControlError: `unreachable`, `unknown_outcome` or `refused`.
     """
     request_id = _resolve_request_id(request_id, retire_order(endpoint_id))
--- a/knapweedarch/cli.py
+++ b/knapweedarch/cli.py
@@ -1,8 +1,9 @@
 """Command-line tool for operators.
 
-Exit codes: 0 done; 1 refused or in conflict; 2 invalid usage or an invalid
-file; 3 the members are unreachable and nothing was changed; 4 the outcome is
-unknown, and the order must be resent under the same request id.
+Exit codes: 0 done; 1 refused, in conflict or, for `explain`, not found; 2
+invalid usage or an invalid file; 3 the members are unreachable and nothing was
+changed; 4 the outcome is unknown, and the order must be resent under the same
+request id.
 """
 
 import ipaddress
@@ -73,7 +74,7 @@
 
     Args:
         file: Rule file.
-        settings: Ignored; accepted so that all commands share the option.
+        settings: Ignored; accepted because diff and apply have this option.
         json: Print one JSON document.
     """
     text = rule_files.read_rules_text(file)
@@ -129,7 +130,8 @@
     Args:
         file: Rule file.
         base: Version that the file is based on; by default the version
-            recorded by the last diff or apply of this file, or 0.
+            recorded by the last diff or apply of this file, or 0 if there is
+            none.
         request_id: Id of an earlier order, to resend it.
         settings: Settings file with members and credential.
         json: Print one JSON document.
@@ -354,7 +356,8 @@
 
     Args:
         request_id: Id that the caller gave the request.
-        files: Log files; a prefix before the JSON document of a line is kept.
+        files: Log files; text before the JSON document of a line is printed
+            as the source of the line.
         json: Print one JSON document.
     """
     if not files:
@@ -384,7 +387,11 @@
 
 
 def _print_request_id(request_id: str, order: api.Order) -> str:
-    """Prints the request id before the order is sent; allows a resend."""
+    """Returns the checked id or a new one, and prints it.
+
+    The operator needs the id for a resend if the command is interrupted after
+    the order was sent.
+    """
     if request_id:
         api.check_request_id(request_id, order)
     else:
@@ -394,7 +401,11 @@
 
 
 def run(arguments: list[str]) -> int:
-    """Runs one command; returns the exit code."""
+    """Runs one command; returns the exit code.
+
+    Raises:
+        SystemExit: The arguments cannot be parsed, or ask for help.
+    """
     json = "--json" in arguments
     try:
         return defopt.run(
--- a/knapweedarch/daemon.py
+++ b/knapweedarch/daemon.py
@@ -28,10 +28,10 @@
 
 
 def serve(*, settings: pathlib.Path) -> None:
-    """Runs one role until it is told to stop.
+    """Runs one role until the process receives a stop signal.
 
     Args:
-        settings: Settings file, JSON with comments.
+        settings: Settings file in JSON5 format.
     """
     try:
         loaded = load_settings(settings)
--- a/knapweedarch/exceptions.py
+++ b/knapweedarch/exceptions.py
@@ -82,10 +82,12 @@
 
 
 class ControlError(KnapweedarchError):
-    """The control members rejected a command or did not answer it.
+    """The control members refused a command or did not answer it.
 
     Attributes:
-        reason: Machine-readable reason.
+        reason: `refused`; `unreachable`, if the command was not sent or, when a
+            group is formed, a member did not answer; or `unknown_outcome`, if
+            the command may have taken effect.
     """
 
     def __init__(self, reason: str, message: str = ""):
@@ -111,7 +113,7 @@
     """An HTTP exchange with an endpoint yielded no complete answer.
 
     Attributes:
-        reason: Machine-readable reason.
+        reason: A value of `models.RetryReason`.
         written: Whether any byte of the request may have been sent.
     """
 
@@ -126,4 +128,4 @@
 
 
 class RequestIdError(KnapweedarchError):
-    """A request id belongs to a different command."""
+    """A request id was created for another order."""
--- a/knapweedarch/explain.py
+++ b/knapweedarch/explain.py
@@ -6,7 +6,8 @@
 
 import attrs
 
-# Events of an endpoint up to this long before the request are shown with it.
+# Events of the request's processes and endpoints are shown with it from this
+# long before its first line.
 CONTEXT_S = 10.0
 # Events about the state of the process that logs them.
 PROCESS_EVENTS = frozenset(
@@ -50,7 +51,8 @@
 
     Attributes:
         at: Unix time in seconds, by the clock of the process that wrote it.
-        source: Process or file that the line comes from.
+        source: Text before the JSON document, which ends with the name of the
+            process; if there is none, the name of the file.
         event: Name of the event.
         fields: Fields of the event.
     """
@@ -186,6 +188,7 @@
 ) -> str:
     status, duration_ms = end.text("status"), end.text("ms")
     given_up = [x for x in request_lines if x.event == "request_given_up"]
+    # Status 0 means that a retry was not made, not that the request ended.
     reasons = [x.text("reason") for x in given_up if x.text("status") != "0"]
     if reasons:
         why = _describe_refusal(reasons[-1])
--- a/knapweedarch/log_volume.py
+++ b/knapweedarch/log_volume.py
@@ -22,7 +22,10 @@
 class LineRateLimiter:
     """Limits the lines of each event per window of `WINDOW_S`.
 
+    Times are in seconds of `timers.Clock`.
+
     Attributes:
+        max_lines: Maximum number of lines of one event per window.
         dropped: Lines dropped since the last report, by event name.
     """
 
@@ -32,7 +35,7 @@
     _window_lines: Counter[str] = attrs.field(factory=Counter)
 
     def allow(self, event: str, now: float) -> bool:
-        """Counts a line and returns whether it may be written."""
+        """Returns whether a line may be written, and counts it."""
         if now - self._window_started_at >= WINDOW_S:
             self._window_started_at = now
             self._window_lines.clear()
@@ -43,7 +46,7 @@
         return False
 
     def take_dropped(self, now: float) -> dict[str, int]:
-        """Returns and resets the drop counts once the window has ended."""
+        """Returns and resets the drop counts; empty while the window lasts."""
         if not self.dropped or now - self._window_started_at < WINDOW_S:
             return {}
         dropped = dict(self.dropped)
@@ -55,7 +58,8 @@
     """Writes lines to a stream without blocking on its reader.
 
     Args:
-        stream: A file, pipe or terminal; its descriptor becomes non-blocking.
+        stream: A file, pipe or terminal, whose descriptor becomes non-blocking,
+            or a stream without a descriptor, such as `io.StringIO`.
         max_pending_bytes: Limit of the buffer for unread lines.
     """
 
@@ -73,7 +77,7 @@
                 os.set_blocking(self._descriptor, False)
 
     def write(self, line: str) -> bool:
-        """Writes or buffers a line; returns False if it was dropped."""
+        """Returns whether a line was written or buffered, not dropped."""
         if self._descriptor is None:
             self._stream.write(line + "\n")
             return True
--- a/knapweedarch/logs.py
+++ b/knapweedarch/logs.py
@@ -11,6 +11,8 @@
 from knapweedarch.timers import Clock
 
 LEVELS = ("debug", "info", "warning", "error")
+# Lines dropped because the buffer is full are counted under this text instead
+# of the event name.
 BUFFER_FULL = "no room for the line"
 
 _logger = logging.getLogger("knapweedarch")
@@ -57,6 +59,9 @@
     Args:
         level: One of `LEVELS`; events below it are not written.
         stream: Destination; standard output if None.
+
+    Raises:
+        ValueError: The level is unknown.
     """
     if level not in LEVELS:
         raise ValueError(f"log level {level!r} is not one of {LEVELS}")
--- a/knapweedarch/process.py
+++ b/knapweedarch/process.py
@@ -1,4 +1,4 @@
-"""Startup, signal handling and exit codes of all processes."""
+"""Startup, signal handling and exit codes of the daemon processes."""
 
 import signal
 import sys
@@ -24,7 +24,10 @@
 def run_process(
     run: Callable[..., Awaitable[None]], *arguments: object
 ) -> None:
-    """Runs a role until it ends; exits with `EXIT_JOURNAL` if its log fails."""
+    """Runs a role until it ends.
+
+    Exits with `EXIT_JOURNAL` if the journal or the replicated log fails.
+    """
     try:
         anyio.run(run, *arguments)
     except* (JournalError, ReplicaError) as group:
--- a/knapweedarch/process_pauses.py
+++ b/knapweedarch/process_pauses.py
@@ -1,6 +1,7 @@
 """Detects that the process was paused, for example by SIGSTOP.
 
-What it knows about other processes is then out of date by the pause.
+What the process knows about others is then as old as the pause is long, and
+others may have acted in the meantime.
 """
 
 from collections.abc import Callable
--- a/knapweedarch/reports.py
+++ b/knapweedarch/reports.py
@@ -50,7 +50,7 @@
 def print_done(
     as_json: bool, text: str, request_id: str, **fields: object
 ) -> int:
-    """Prints that an order is in force; returns the exit code."""
+    """Prints that an order was carried out; returns the exit code."""
     extra = [f"{key} {value}" for key, value in fields.items()]
     document = {"result": "done", "text": text, "request_id": request_id}
     _print(as_json, {**document, **fields}, [", ".join([text, *extra])])
@@ -69,7 +69,7 @@
 
 
 def print_checked(file: pathlib.Path, rules: Rules, as_json: bool) -> None:
-    """Prints the entry counts of a valid rule file."""
+    """Prints how many rules of each kind a valid rule file has."""
     sizes = {
         "customers": len(rules.customers),
         "models": len(rules.models),
@@ -192,7 +192,7 @@
 
 
 def print_explanation(explanation: Explanation, as_json: bool) -> int:
-    """Prints the lines of a request; returns 1 if there are none."""
+    """Prints an explanation; returns the exit code, 1 if it has no lines."""
     document = {
         "conclusion": explanation.conclusion,
         "lines": [attrs.asdict(line) for line in explanation.lines],
--- a/knapweedarch/rule_files.py
+++ b/knapweedarch/rule_files.py
@@ -1,8 +1,8 @@
 """Rule files on an operator's disk, and the versions they are based on.
 
-For a rule file `FILE`, `FILE.base` stores the version of the active rules that
-the file was last compared with or accepted as. A command to change the rules
-includes this base version, and the members reject it if the rules have changed
+For a rule file `FILE`, `FILE.base` stores the version of the rules in force
+that the file was last compared with or accepted as. An order to apply the file
+includes this base version, and the members refuse it if the rules have changed
 since. Operators who edit copies of the same version therefore cannot overwrite
 each other's changes unnoticed.
 """
@@ -57,8 +57,8 @@
 def read_base_version(path: str | pathlib.Path) -> int:
     """Returns the version that a rule file is based on.
 
-    Returns 0 if no version is stored, which is valid only for the first rule
-    file of a deployment.
+    Returns 0 if no version is stored. The members accept 0 only while they have
+    no rules, so only for the first rule file.
 
     Raises:
         RuleError: The base file is unreadable or has no valid version.
--- a/knapweedarch/rule_kinds.py
+++ b/knapweedarch/rule_kinds.py
@@ -31,7 +31,12 @@
 
 
 class InvalidValueError(Exception):
-    """A value is invalid; `offset` is the position of the fault, from 0."""
+    """A value is invalid.
+
+    Attributes:
+        reason: Description of the fault.
+        offset: Number of characters of the value before the fault.
+    """
 
     def __init__(self, reason: str, offset: int = 0):
         self.reason = reason
--- a/knapweedarch/rules.py
+++ b/knapweedarch/rules.py
@@ -1,8 +1,9 @@
 """Parses, validates, compares and formats rule files.
 
 A rule file has one rule per line: a kind, a name, fields as `key=value`, and a
-comment that names who requested the rule. Names are unique per kind. Blank
-lines and full-line comments are allowed.
+comment `# asked by NAME` or `# asked by NAME: REMARK` that names who requested
+the rule. Names are unique per kind. Blank lines and full-line comments are
+allowed.
 """
 
 import enum
@@ -276,7 +277,10 @@
 
 @attrs.frozen
 class FieldChange:
-    """A field whose value differs; an empty string means the default."""
+    """A field whose value differs.
+
+    An empty string means the default, or that one file does not have the rule.
+    """
 
     field: str
     old: str
@@ -292,7 +296,7 @@
         kind: Kind of the rule.
         name: Name of the rule.
         fields: Changed fields; for an added or removed rule, all fields that
-            are set.
+            differ from their defaults. `asked by` is also one of the fields.
     """
 
     change: ChangeKind
@@ -354,7 +358,10 @@
 
 
 def format_rules(rules: Rules) -> str:
-    """Formats rules as a rule file that parses to equal rules."""
+    """Formats rules as a rule file that parses to equal rules.
+
+    The file has no remarks and other comments, as `Rules` does not hold them.
+    """
     return "".join(f"{line}\n" for line in _format_lines(rules))
 
 
