--- a/knapweedarch/cli.py
+++ b/knapweedarch/cli.py
@@ -1,8 +1,9 @@
 """Command-line tool for operators.
 
-Exit codes: 0 done; 1 refused or in conflict; 2 invalid usage or an invalid
-file; 3 the members are unreachable and nothing was changed; 4 the outcome is
-unknown, and the order must be resent under the same request id.
+Exit codes: 0 done; 1 refused, in conflict or, for `explain`, not found; 2
+invalid usage or an invalid file; 3 the members are unreachable and nothing was
+changed; 4 the outcome is unknown, and the order must be resent under the same
+request id.
 """
 
 import ipaddress
@@ -44,7 +45,7 @@
 EXIT_UNREACHABLE = 3
 EXIT_UNKNOWN = 4
 MAX_VERSION = 2**63 - 1
-MAX_ID_CHARACTERS = 128
+MAX_ARGUMENT_CHARACTERS = 128
 INTERRUPTED_TEXT = (
     "the command was interrupted; if it sent an order, the outcome is unknown: "
     "resend with the same request id"
@@ -73,7 +74,7 @@
 
     Args:
         file: Rule file.
-        settings: Ignored; accepted so that all commands share the option.
+        settings: Ignored; accepted because diff and apply have this option.
         json: Print one JSON document.
     """
     text = rule_files.read_rules_text(file)
@@ -108,10 +109,10 @@
     text = rule_files.read_rules_text(file)
     reply = api.status(api.load(settings))
     changes = diff_rules(parse_rules(reply.rules_text), parse_rules(text))
-    noted = rule_files.write_base_version(file, reply.rules_version)
+    base_written = rule_files.write_base_version(file, reply.rules_version)
     same_text = text == reply.rules_text
     reports.print_diff(reply.rules_version, changes, same_text, json)
-    if not noted:
+    if not base_written:
         reports.warn(f"cannot write {file}.base; give --base to apply")
     return EXIT_DONE
 
@@ -129,7 +130,8 @@
     Args:
         file: Rule file.
         base: Version that the file is based on; by default the version
-            recorded by the last diff or apply of this file, or 0.
+            recorded by the last diff or apply of this file, or 0 if there is
+            none.
         request_id: Id of an earlier order, to resend it.
         settings: Settings file with members and credential.
         json: Print one JSON document.
@@ -243,10 +245,10 @@
 def _check_texts(*texts: str) -> None:
     """Rejects texts that no endpoint can have, such as malformed UTF-8."""
     for text in texts:
-        if not text.isprintable() or len(text) > MAX_ID_CHARACTERS:
+        if not text.isprintable() or len(text) > MAX_ARGUMENT_CHARACTERS:
             raise UsageError(
-                f"{text[:MAX_ID_CHARACTERS]!r}; allowed: up to "
-                f"{MAX_ID_CHARACTERS} printable characters"
+                f"{text[:MAX_ARGUMENT_CHARACTERS]!r}; allowed: up to "
+                f"{MAX_ARGUMENT_CHARACTERS} printable characters"
             )
 
 
@@ -354,7 +356,8 @@
 
     Args:
         request_id: Id that the caller gave the request.
-        files: Log files; a prefix before the JSON document of a line is kept.
+        files: Log files; text before the JSON document of a line is printed
+            as the source of the line.
         json: Print one JSON document.
     """
     if not files:
@@ -384,7 +387,11 @@
 
 
 def _print_request_id(request_id: str, order: api.Order) -> str:
-    """Prints the request id before the order is sent; allows a resend."""
+    """Returns the checked id or a new one, and prints it.
+
+    The operator needs the id for a resend if the command is interrupted after
+    the order was sent.
+    """
     if request_id:
         api.check_request_id(request_id, order)
     else:
@@ -394,7 +401,11 @@
 
 
 def run(arguments: list[str]) -> int:
-    """Runs one command; returns the exit code."""
+    """Runs one command; returns the exit code.
+
+    Raises:
+        SystemExit: The arguments cannot be parsed, or ask for help.
+    """
     json = "--json" in arguments
     try:
         return defopt.run(
