--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -77,13 +77,13 @@
     """Runs ablations beside the full scheduler; returns the exit code."""
     cases = ablation_cases(seed, traces)
     pairs = dict.fromkeys((c.deployment, c.scenario) for c in cases)
-    complete = [
+    production = [
         scenarios.Case(*pair, variants.PRODUCTION.name, seed, traces)
         for pair in pairs
     ]
-    results = run_cases([*complete, *cases])
+    results = run_cases([*production, *cases])
     text = report.ablation_table(
-        results[: len(complete)], results[len(complete) :]
+        results[: len(production)], results[len(production) :]
     )
     print(text)
     report.write_section(BENCHMARKS_PAGE, "ablations", text)
