--- a/bench/log_bench.py
+++ b/bench/log_bench.py
@@ -124,20 +124,20 @@
     """Result of a run in which each client waits for its update.
 
     Attributes:
-        rate: Updates per second.
+        updates_per_s: Updates per second.
         median_ms: Median latency.
         p99_ms: 99th percentile of the latency.
-        syncs: Syncs per update.
+        syncs_per_update: Syncs per update.
     """
 
-    rate: float
+    updates_per_s: float
     median_ms: float
     p99_ms: float
-    syncs: float
+    syncs_per_update: float
 
 
 def run_load(
-    group: Group, clients: int, updates: int, batching: bool, size: int
+    group: Group, clients: int, updates: int, batching: bool, update_bytes: int
 ) -> LoadResult:
     """Runs clients that propose again once their update is committed."""
     begin = time.perf_counter()
@@ -147,7 +147,7 @@
     group.syncs = 0
     while len(latencies) < updates:
         for _ in range(len(waiting) if batching else 1):
-            index = group.leader.propose(b"x" * size, group.now)
+            index = group.leader.propose(b"x" * update_bytes, group.now)
             started[index] = waiting.popleft()
         for entry in group.exchange():
             done = time.perf_counter()
@@ -179,8 +179,8 @@
                 group.close()
             print(
                 f"{'with' if batching else 'without':8}{clients:9}"
-                f"{load.rate:11.0f}{load.median_ms:11.2f}"
-                f"{load.p99_ms:8.2f}{load.syncs:14.2f}"
+                f"{load.updates_per_s:11.0f}{load.median_ms:11.2f}"
+                f"{load.p99_ms:8.2f}{load.syncs_per_update:14.2f}"
             )
 
 
@@ -320,7 +320,7 @@
     journal.close()
 
 
-def start_member(folder: str) -> float:
+def start_up_s(folder: str) -> float:
     """Returns the seconds that a member takes to restore its state."""
     begin = time.perf_counter()
     journal = open_journal(folder)
@@ -354,7 +354,7 @@
                         for n in JournalFiles(directory).names()
                     )
                     elapsed_s = statistics.median(
-                        start_member(directory) for _ in range(5)
+                        start_up_s(directory) for _ in range(5)
                     )
                 row += f"{elapsed_s * 1e3:15.1f}{size / 1024:9.0f}"
             print(row)
