--- a/bench/relay_bench.py
+++ b/bench/relay_bench.py
@@ -190,7 +190,7 @@
     :param latency_requests: Requests for the latency measurement; 0 skips it.
     :param profile: File for cProfile statistics of the gateway.
     """
-    print_machine()
+    print_machine_speed()
     processes = []
     try:
         ports = []
@@ -224,7 +224,7 @@
             process.wait()
 
 
-def print_machine() -> None:
+def print_machine_speed() -> None:
     """Prints the machine's present speed, to make runs comparable."""
     event = json.dumps({"text": "seal34 " * 30})
     started = time.process_time()
