--- a/bench/runners.py
+++ b/bench/runners.py
@@ -10,7 +10,7 @@
 from knapweedarch import models, prefixes
 
 PREFILL_TOKENS_S = 20_000.0
-STEP_S = 0.015
+DECODE_STEP_S = 0.015
 
 # Relative slowdown of prefill and of each decoding step by a full batch.
 BATCH_SLOWDOWN = 0.6
@@ -253,7 +253,7 @@
 
     def _decode(self, job: Job) -> None:
         slowdown = 1 + BATCH_SLOWDOWN * self._batch_size / self.endpoint.slots
-        step_s = STEP_S * slowdown / self.speed
+        step_s = DECODE_STEP_S * slowdown / self.speed
         self._clock.call_later(step_s, self._send_first_token, job)
         self._clock.call_later(step_s * job.out_tokens, self._finish, job)
 
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -152,7 +152,7 @@
             world.RUNNERS,
             deployment.slots,
             runners.PREFILL_TOKENS_S,
-            runners.STEP_S,
+            runners.DECODE_STEP_S,
             1 + runners.BATCH_SLOWDOWN,
         )
 
@@ -225,11 +225,11 @@
     ]
     answered = [r for r in records if r.cached is not None]
     computed = sum(
-        r.computed_tokens for w in simulations for r in w.runners.values()
+        r.computed_tokens for sim in simulations for r in sim.runners.values()
     )
     needed = sum(
-        workloads.first_need_tokens([r.request for r in w.records])
-        for w in simulations
+        workloads.first_need_tokens([r.request for r in sim.records])
+        for sim in simulations
     )
     refusals: dict[str, int] = {}
     for record in records:
