--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -15,9 +15,9 @@
 from bench import decisions, report, scenarios, variants, workloads, world
 from knapweedarch import index, models, prefixes, scheduler
 
-ENDPOINTS = (9, 100, 600)
+ENDPOINT_COUNTS = (9, 100, 600)
 INDEX_SIZES = (10_000, 100_000, 400_000)
-HASH_MEGABYTES = (1, 4, 16)
+PROMPT_SIZES_MIB = (1, 4, 16)
 WINDOWS_S = (0.1, 1.0, 5.0)
 REPEATS = 5
 CHAIN_BLOCKS = 40
@@ -191,15 +191,15 @@
     return min_cpu_us(apply)
 
 
-def hash_us(megabytes: int) -> float:
+def hash_us(mebibytes: int) -> float:
     """Measures the CPU time per MiB of a prompt hashed in steps."""
-    prompt = random.Random(1).randbytes(megabytes << 20)
+    prompt = random.Random(1).randbytes(mebibytes << 20)
 
     def apply() -> int:
         hasher = prefixes.BlockHasher(b"salt")
         for _ in prefixes.hash_steps(hasher, prompt):
             pass
-        return megabytes
+        return mebibytes
 
     return min_cpu_us(apply)
 
@@ -259,7 +259,7 @@
 def table() -> str:
     """Runs all measurements and formats their table."""
     rows = []
-    for count in ENDPOINTS:
+    for count in ENDPOINT_COUNTS:
         us = submit_us(count, 100_000)
         rows.append(["submit", f"{count} endpoints", f"{us:.0f} us"])
     for size in INDEX_SIZES:
@@ -276,10 +276,10 @@
     for count in (8, 40):
         us = event_us(count, 10_000)
         rows.append(["cache event", f"{count} blocks", f"{us:.2f} us"])
-    for count in ENDPOINTS:
+    for count in ENDPOINT_COUNTS:
         us = report_us(count)
         rows.append(["load report", f"{count} endpoints", f"{us:.2f} us"])
-    for size in HASH_MEGABYTES:
+    for size in PROMPT_SIZES_MIB:
         us = hash_us(size)
         rows.append(["hashing", f"{size} MiB prompt", f"{us:.0f} us/MiB"])
     for deployment in workloads.DEPLOYMENTS.values():
