--- a/bench/control_slopes.py
+++ b/bench/control_slopes.py
@@ -1,8 +1,10 @@
 """Measures the cost of the control group for docs/CAPACITY.md.
 
 Most costs are measured at three sizes, to show how they grow. Run
-`python -m bench.control_slopes`: it starts one member process and connects to
-it as routers do, on loopback only, and stops all its processes at the end.
+`python -m bench.control_slopes`. Some measurements need no other process; each
+of the others starts its own member process, and either connects to it as
+routers do or starts a router or stand-in runners. All processes use loopback
+only and are stopped at the end of their measurement.
 """
 
 import os
@@ -37,14 +39,22 @@
 )
 
 RENEWALS_PER_S = 2.0
+
+# Length of one measurement of CPU time or feed bytes.
 WINDOW_S = 5.0
+
+# Time that the routers keep renewing after a rule change is submitted.
 CHANGE_WINDOW_S = 6.0
+
+# Numbers of runners whose feeds one router follows.
 FEED_COUNTS = (0, 3, 9)
 ROUTER_COUNTS = (35, 100, 350)
 RECORD_COUNTS = (1_000, 10_000, 50_000)
 ENDPOINT_COUNTS = (60, 200, 600)
 CUSTOMER_COUNTS = (230, 1_000, 2_300)
 ANSWER_BYTES = 500
+
+# Framing of an HTTP chunk: a size of two hex digits and two line ends.
 CHUNK_FRAME_BYTES = 6
 
 
@@ -142,7 +152,12 @@
 async def _measure_rule_change(
     cluster: Deployment, count: int
 ) -> tuple[float, float]:
-    """Returns seconds until a large rule file applies, and CPU seconds."""
+    """Measures one change to a rule file of the largest size.
+
+    Returns:
+        The seconds until the change is applied, and the member's CPU time in
+        seconds.
+    """
     address = control.MemberAddress(**cluster.members[0])
     pid = cluster.processes[address.name].popen.pid
     stop_at = time.monotonic() + 3 + CHANGE_WINDOW_S
@@ -166,7 +181,7 @@
 
 
 def measure_changes() -> None:
-    """Measures how long a rule change takes to apply on all routers."""
+    """Measures the time until all routers have applied a rule change."""
     print("\n## Rule change with 2,300 customers")
     print_row("routers", "seconds until applied", "CPU seconds at the leader")
     with Deployment(members=1) as cluster:
@@ -225,12 +240,14 @@
 
 
 def measure_messages() -> None:
-    """Measures the size of one lease renewal and of its answer."""
+    """Measures the bytes of a lease renewal, its answer and an endpoint."""
     print("\n## Bytes on a router's control link")
     renew = control.Renew("router-17", "0123456789abcdef", 320, 9000, 10**6)
     grant = control.Grant(2.0, 10**6, 320, None, 9000, (), 350)
+    # 20 bytes are added for the frame of the call or reply.
     sizes = [len(CONTROL.encode(m)) + 20 for m in (renew, grant)]
     print_row("renewal", "grant", "bytes/s at 2 renewals/s and keep-alives")
+    # Both ends send keep-alives, counted as 13 bytes each.
     keep_alive = 2 * 13 / links.KEEP_ALIVE_INTERVAL_S
     print_row(*sizes, f"{sum(sizes) * RENEWALS_PER_S + keep_alive:.0f}")
     entries = tuple(EndpointEntry(_endpoint(n), n) for n in range(600))
@@ -266,7 +283,11 @@
 
 
 def measure_state() -> None:
-    """Measures memory, CPU per command and snapshot time of the state."""
+    """Measures the control state.
+
+    The table shows the CPU time per command, the memory per record or endpoint
+    and the CPU time of a snapshot.
+    """
     print("\n## Control state")
     print_row(
         "records", "endpoints", "us per command", "bytes each", "snapshot ms"
@@ -302,7 +323,7 @@
 
 
 def measure_rules() -> None:
-    """Measures the size and parsing time of rule files."""
+    """Measures rule files: size, CPU time to parse one and to apply one."""
     print("\n## Rule file")
     print_row("customers", "bytes", "parse ms", "command ms")
     for customers in CUSTOMER_COUNTS:
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,8 +1,9 @@
 """Compares the scheduler with baselines and references.
 
 `python -m bench.decisions` runs all cases, prints the tables, and updates the
-plots and tables of docs/BENCHMARKS.md. `--quick` runs one short comparison and
-checks that two runs with the same seed give equal results.
+plots and tables of docs/BENCHMARKS.md. `--quick` only runs the production
+variant in the steady scenario, twice, and checks that two runs with the same
+seed give equal results.
 """
 
 import argparse
@@ -16,14 +17,15 @@
 PROCESSES = 3
 SEED = 1
 
-# Traces per case, with consecutive seeds. One trace has too few requests for a
-# stable 99th percentile: it differs between two traces.
+# Traces per case, with consecutive seeds. One trace has too few requests for
+# its 99th percentile to agree with that of another trace.
 TRACES = 2
 BENCHMARKS_PAGE = (
     pathlib.Path(__file__).resolve().parent.parent / "docs/BENCHMARKS.md"
 )
 
-# Scenarios of each ablation: those that the disabled mechanism affects.
+# Scenarios of each ablation: those that the disabled mechanism affects. The
+# alternatives, and ablations without an entry, use `PLACEMENT_SCENARIOS`.
 PLACEMENT_SCENARIOS = ("steady", "hot prefix shift")
 ABLATION_SCENARIOS = {
     "no class limits": ("steady", "overload 1.3"),
@@ -40,7 +42,11 @@
 
 
 def run_named_case(case: scenarios.Case) -> scenarios.CaseResult:
-    """Runs a case in a worker process, which looks up its names."""
+    """Runs a case after looking up its scenario and its variant by name.
+
+    A case that is sent to a worker process holds names, since the functions in
+    a variant cannot be pickled.
+    """
     scenario = {s.name: s for s in scenarios.SCENARIOS}[case.scenario]
     return scenarios.run_case(case, _variants_by_name()[case.variant], scenario)
 
@@ -74,7 +80,10 @@
 
 
 def run_ablations(seed: int, traces: int) -> int:
-    """Runs ablations beside the full scheduler; returns the exit code."""
+    """Compares alternatives and ablations with the production variant.
+
+    Prints the table and updates the page; returns the exit code.
+    """
     cases = ablation_cases(seed, traces)
     pairs = dict.fromkeys((c.deployment, c.scenario) for c in cases)
     production = [
@@ -91,7 +100,11 @@
 
 
 def quick(seed: int) -> int:
-    """Runs one case of each deployment twice; returns the exit code."""
+    """Runs one case of each deployment twice and compares the results.
+
+    Returns:
+        The exit code: 1 if the results differ.
+    """
     cases = [
         scenarios.Case(name, "steady", variants.PRODUCTION.name, seed)
         for name in workloads.DEPLOYMENTS
--- a/bench/log_bench.py
+++ b/bench/log_bench.py
@@ -1,9 +1,11 @@
 """Measures the replicated log and its journal; prints tables.
 
 Three members run in this process. Messages are encoded and decoded, the files
-are real and each save waits for the disk. The followers save in two threads,
-in parallel as on two instances; everything else runs on one thread, so the
-throughput is lower than that of three processes.
+are real and, unless a measurement skips syncs, each save waits for the disk.
+Saves run in two threads, so that the followers save in parallel as on two
+instances. Everything else runs on one thread, so the throughput is lower than
+that of three processes. Elections are measured on the simulated members of
+`bench.virtual_group`.
 
 Usage: PYTHONPATH=. python bench/log_bench.py [--folder FOLDER] [--quick]
 """
@@ -48,7 +50,14 @@
 
 
 class Group:
-    """Three members and their journals in one process."""
+    """Three members and their journals in one process.
+
+    Attributes:
+        now: Virtual time in seconds.
+        leader: The elected leader's replica.
+        syncs: Number of saves that need a sync, of all members.
+        message_bytes: Bytes of all messages sent between the members.
+    """
 
     def __init__(
         self, folder: str, files_class: type[JournalFiles] = JournalFiles
@@ -75,7 +84,8 @@
 
     def _elect(self) -> None:
         # Virtual time stops once a leader is elected, so that neither
-        # heartbeats nor elections affect the measurements.
+        # heartbeats nor elections affect the measurements. Only `bench_idle`
+        # advances it later.
         self.now = 0.0
         while not any(r.leads_until(self.now) for r in self.replicas.values()):
             self.now += 0.02
@@ -91,7 +101,11 @@
         return output
 
     def exchange(self) -> list[Entry]:
-        """Delivers messages until none is left; returns committed entries."""
+        """Delivers messages until none is left.
+
+        Returns:
+            The entries that the leader committed.
+        """
         committed, names = [], list(MEMBER_NAMES)
         while names:
             outputs = zip(names, self.pool.map(self._save, names), strict=True)
@@ -125,9 +139,9 @@
 
     Attributes:
         updates_per_s: Updates per second.
-        median_ms: Median latency.
-        p99_ms: 99th percentile of the latency.
-        syncs_per_update: Syncs per update.
+        median_ms: Median latency in milliseconds.
+        p99_ms: 99th percentile of the latency in milliseconds.
+        syncs_per_update: Syncs of all three members per update.
     """
 
     updates_per_s: float
@@ -139,7 +153,11 @@
 def run_load(
     group: Group, clients: int, updates: int, batching: bool, update_bytes: int
 ) -> LoadResult:
-    """Runs clients that propose again once their update is committed."""
+    """Runs clients that propose again once their update is committed.
+
+    With batching, all waiting clients propose together. Without it, one update
+    is committed before the next is proposed.
+    """
     begin = time.perf_counter()
     waiting = deque([begin] * clients)
     started: dict[int, float] = {}
@@ -164,7 +182,7 @@
 
 
 def bench_updates(folder: str, quick: bool) -> None:
-    """Prints updates per second with and without batching."""
+    """Prints throughput, latency and syncs with and without batching."""
     print(f"\nupdates of {UPDATE_BYTES} bytes, three journals, real syncs")
     print("batching  clients  updates/s  median ms  p99 ms  syncs/update")
     for batching in (False, True):
@@ -248,7 +266,10 @@
 
 
 def bench_flapping(quick: bool) -> None:
-    """Prints elections caused by a flapping member, by use of pre-vote."""
+    """Prints how many elections a flapping member causes.
+
+    Compares members with pre-vote to members without it.
+    """
     print("\none follower isolated for 3 s and reconnected for 1 s, 15 times")
     print("pre-vote  elections (mean, max)  time without leader lease")
     seeds = range(3 if quick else 20)
@@ -283,12 +304,12 @@
 
 
 def reservation(number: int) -> Reserve:
-    """Builds a change that adds an entry to the state."""
+    """Builds a change that adds a record to the state."""
     return Reserve(f"{number:064x}", bytes(32), "router", 0.0)
 
 
 def rule_file(number: int) -> PutRules:
-    """Builds a change that replaces the previous one in the state."""
+    """Builds a change that replaces the rule file in the state."""
     return PutRules(f"{number:032x}", number - 1, "x" * RULE_FILE_BYTES)
 
 
@@ -321,7 +342,7 @@
 
 
 def start_up_s(folder: str) -> float:
-    """Returns the seconds that a member takes to restore its state."""
+    """Measures the seconds that a member takes to restore its state."""
     begin = time.perf_counter()
     journal = open_journal(folder)
     restored = journal.restored
@@ -338,7 +359,7 @@
 
 
 def bench_start_up(folder: str, quick: bool) -> None:
-    """Prints start-up time and journal size by the number of changes."""
+    """Prints start-up time and journal size for several numbers of changes."""
     print(f"\nstart of a member, snapshot every {CHANGES_PER_SNAPSHOT} changes")
     print(
         "changes               without snapshot ms  KiB  with snapshot ms  KiB"
--- a/bench/relay_bench.py
+++ b/bench/relay_bench.py
@@ -1,7 +1,8 @@
 """Measures the gateway's added latency and its CPU time per relayed token.
 
 The gateway, the runners and the caller are separate processes on loopback.
-CPU time is user and system time of the gateway process alone.
+CPU time is user and system time of the gateway process alone. Runs differ in
+whether the tokens of one stream arrive separately.
 """
 
 import json
@@ -28,7 +29,8 @@
 PROMPT = "Which way to the plateau? " * 80
 MICROSECONDS = 1_000_000
 MAX_LATENCY_US = 60_000_000
-# Runs differ in whether the tokens of one stream arrive separately.
+
+# Requests of the latency measurement that are sent first and not recorded.
 WARM_UP_STREAMS = 20
 
 
@@ -74,7 +76,7 @@
 async def stream_once(
     connection: anyio.abc.SocketStream, request: bytes
 ) -> tuple[float, int]:
-    """Sends a request.
+    """Sends a request and reads the whole answer.
 
     Returns:
         The seconds to the first event, and the number of events.
@@ -95,7 +97,11 @@
 async def measure_latency(
     port: int, headers: dict[str, str], count: int
 ) -> HdrHistogram:
-    """Measures the time to the first event of sequential requests."""
+    """Measures the time to the first event of sequential requests.
+
+    Returns:
+        A histogram in microseconds.
+    """
     histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
     request = request_bytes(1, headers)
     async with await anyio.connect_tcp("127.0.0.1", port) as connection:
@@ -109,7 +115,11 @@
 async def measure_streams(
     port: int, streams: int, tokens: int, rounds: int
 ) -> int:
-    """Runs streams concurrently; returns the number of events."""
+    """Runs streams concurrently, several in turn on each connection.
+
+    Returns:
+        The number of events, each of which holds one token.
+    """
     request = request_bytes(tokens, AUTHORIZATION)
     total = 0
 
@@ -225,7 +235,7 @@
 
 
 def print_machine_speed() -> None:
-    """Prints the machine's present speed, to make runs comparable."""
+    """Prints the machine's present speed and load, to compare runs."""
     event = json.dumps({"text": "seal34 " * 30})
     started = time.process_time()
     for _ in range(20_000):
@@ -264,7 +274,7 @@
     tokens: int,
     rounds: int,
 ) -> None:
-    """Prints the gateway's CPU time per relayed event."""
+    """Prints the gateway's CPU time per relayed event, that is per token."""
     anyio.run(measure_streams, port, streams, 10, 1)
     cpu, wall = cpu_s(process), time.perf_counter()
     events = anyio.run(measure_streams, port, streams, tokens, rounds)
--- a/bench/report.py
+++ b/bench/report.py
@@ -11,17 +11,21 @@
 matplotlib.use("Agg")
 import matplotlib.pyplot as plt
 
-# Targets; docs/BENCHMARKS.md explains them.
+# Targets; docs/BENCHMARKS.md explains them. Waste and 99th percentiles are
+# bounded relative to the better reference; the overload target is relative to
+# the steady scenario.
 MIN_BINDERY_HIT_RATE = 0.95
 MAX_BINDERY_WASTE_RATIO = 1.2
 MAX_HUTS_GUEST_P99_RATIO = 1.2
 MAX_OVERLOAD_GUEST_P99_RATIO = 1.5
 
+# Index of the 99th percentile in `CaseResult.quantiles`.
 P99_INDEX = 2
 PRODUCTION = variants.PRODUCTION.name
 REFERENCES = tuple(v.name for v in variants.REFERENCES)
 BASELINES = tuple(v.name for v in variants.BASELINES)
 
+# Results by deployment, scenario and variant.
 ResultsByCase = dict[tuple[str, str, str], scenarios.CaseResult]
 
 
@@ -52,7 +56,7 @@
 
 
 def target_table(results: Sequence[scenarios.CaseResult]) -> str:
-    """Formats each target and its result."""
+    """Formats each target with the measured value and whether it is met."""
     by_case = _results_by_case(results)
     names = list(dict.fromkeys(result.case.scenario for result in results))
     rows = []
@@ -199,7 +203,12 @@
     compared: Sequence[scenarios.CaseResult],
     ablated: Sequence[scenarios.CaseResult],
 ) -> str:
-    """Formats each ablation below the full scheduler."""
+    """Formats alternatives and ablations below the production variant.
+
+    Args:
+        compared: Results of the production variant; others are ignored.
+        ablated: Results of the alternatives and ablations.
+    """
     production = {
         (result.case.deployment, result.case.scenario): result
         for result in compared
@@ -241,7 +250,7 @@
 
 
 def plot(results: Sequence[scenarios.CaseResult], folder: pathlib.Path) -> None:
-    """Plots the main measure of each deployment as a bar chart."""
+    """Writes a bar chart of each deployment's main measure to the folder."""
     by_case = _results_by_case(results)
     names = list(dict.fromkeys(result.case.scenario for result in results))
     variant_names = list(
--- a/bench/runners.py
+++ b/bench/runners.py
@@ -9,10 +9,12 @@
 
 from knapweedarch import models, prefixes
 
+# Prefill speed in tokens per second, and time of a decoding step, both before
+# the slowdown by the batch.
 PREFILL_TOKENS_S = 20_000.0
 DECODE_STEP_S = 0.015
 
-# Relative slowdown of prefill and of each decoding step by a full batch.
+# Fraction by which a full batch lengthens prefill and each decoding step.
 BATCH_SLOWDOWN = 0.6
 
 # Tokens computed before the next request's turn. Requests of one class take
@@ -36,10 +38,10 @@
     """A request attempt at a runner.
 
     Attributes:
-        attempt: The attempt.
+        attempt: The attempt, with the ticket of its request.
         router: Number of the router that sent it.
         out_tokens: Length of the answer in tokens.
-        cached: Number of blocks found in the cache.
+        cached: Number of prompt blocks found in the cache.
         position: Number of prompt tokens computed or found in the cache.
         cancelled: Whether the job was cancelled or lost in a crash.
         in_batch: Whether it occupies a slot of the batch.
@@ -88,7 +90,18 @@
 
 
 class Runner:
-    """A runner that computes jobs in virtual time."""
+    """A runner that computes jobs in virtual time.
+
+    Attributes:
+        endpoint: The runner's present announcement.
+        speed: Speed relative to a normal runner.
+        alive: Whether it runs; False between a crash and the restart.
+        cache: Cached blocks, least recently used first.
+        event_count: Number of the last cache event since the start.
+        computed_tokens: Prompt tokens computed since the start of the run.
+        jobs: Jobs that are queued or in the batch.
+        acknowledged: Highest attempt number received from each router.
+    """
 
     def __init__(
         self, endpoint: models.Endpoint, clock: Clock, observer: Observer
@@ -160,9 +173,10 @@
         )
 
     def _queued_tokens(self, lowest: models.Priority) -> int:
-        """Returns tokens to compute; jobs that lack the same block share it.
+        """Returns the prompt tokens still to compute.
 
-        Jobs of a class below `lowest` are left out.
+        A block that several jobs lack counts once. Jobs of a class below
+        `lowest` are left out.
         """
         tails, blocks = 0, set()
         for job in self.jobs:
@@ -235,7 +249,7 @@
         self._observer.load_changed(self)
 
     def _store_blocks(self, job: Job) -> None:
-        """Caches the job's full blocks and evicts the least recently used."""
+        """Caches the blocks computed so far; evicts the least recently used."""
         full = job.position // prefixes.BLOCK_TOKENS
         chain = job.attempt.ticket.blocks[:full]
         stored = [block for block in chain if block not in self.cache]
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -10,19 +10,23 @@
 from knapweedarch import models
 
 DURATION_S = 60.0
+
+# Requests that arrive earlier, during the load ramp, are not measured.
 MEASURED_FROM_S = 15.0
 FAULT_AT_S = 30.0
 
 # Simulated time after the last arrival, in which requests can still finish.
 DRAIN_S = 15.0
 
-# Length of the sliding windows that are checked for recovery, and the ratio of
-# their p95 to that before the fault up to which a window counts as recovered.
+# Recovery is checked in sliding windows of this length. A window counts as
+# recovered if its p95 is at most `RECOVERED_RATIO` times that before the fault.
 RECOVERY_WINDOW_S = 3.0
 RECOVERED_RATIO = 1.5
 
 NORMAL_LAG = world.Lag()
 HIGH_LAG = world.Lag(base_s=1.0, jitter_s=0.5, loss=0.05)
+
+# Speed of the slow runner relative to the others.
 SLOW_SPEED = 0.25
 
 # Upper bound of the histograms in microseconds: 2 minutes.
@@ -53,7 +57,7 @@
 
 def _crash_half_of_runners(sim: world.Simulation) -> None:
     for i, name in enumerate(sorted(sim.runners)[: world.RUNNERS // 2 + 1]):
-        # Three runners at a time load their weights, for 0.5 s.
+        # After 4 s, three runners at a time load their weights for 0.5 s.
         sim.crash_runner(name, 4.0 + 0.5 * (i // 3 + 1))
 
 
@@ -61,6 +65,7 @@
     for name, runner in sorted(sim.runners.items()):
         if runner.endpoint.data_centre == "dc0":
             sim.crash_runner(name, 15.0)
+    # The only router of a reference keeps running.
     for router in sim.routers:
         if router.data_centre == "dc0" and len(sim.routers) > 1:
             sim.stop_router(router.number, 15.0)
@@ -113,18 +118,20 @@
     Attributes:
         case: The case.
         requests: Number of requests measured.
-        hit_rate: Share of the prompt blocks found in the cache.
+        hit_rate: Share of the prompt blocks found in the cache, of requests
+            that received a first token.
         quantiles: p50, p95, p99 and p99.9 of the time to the first token in
             seconds by class; a refused request counts as its deadline.
-        wasted_tokens: Tokens computed in addition to `needed_tokens`.
-        needed_tokens: Tokens to compute if each block is computed once.
+        wasted_tokens: Prompt tokens computed in addition to `needed_tokens`.
+        needed_tokens: Prompt tokens to compute if each block is computed once.
+            Both include the load ramp.
         refusals: Number of requests refused or late, by reason.
         answered: Share of the requests answered, by class.
         retries: Number of retries by routers.
         resubmits: Number of resubmissions by callers after a router stopped.
         recovery_s: Seconds from the fault until the guests' p95 stays within
-            `RECOVERED_RATIO`; None without a fault, infinite if it never
-            does.
+            `RECOVERED_RATIO` times that before the fault; None without a
+            fault, infinite if it never does.
     """
 
     case: Case
@@ -143,7 +150,10 @@
 def load_measure(
     deployment: workloads.Deployment,
 ) -> Callable[[Sequence[workloads.Request]], float]:
-    """Returns a function that measures the load of a trace."""
+    """Returns a function that measures the load of a trace.
+
+    The load is a fraction of the capacity with ideal caches.
+    """
 
     def measure(requests: Sequence[workloads.Request]) -> float:
         return workloads.utilisation(
@@ -208,7 +218,10 @@
 
 
 def ttft_s(record: world.RequestRecord) -> float:
-    """Returns the time to the first token; the deadline if refused."""
+    """Returns the time to the first token in seconds.
+
+    A request that was refused or late counts as its deadline.
+    """
     if record.first_at is None or record.refused:
         return record.request.deadline_s
     return record.first_at - record.request.at
@@ -271,7 +284,11 @@
 
 
 def _recovery_s(records: Sequence[world.RequestRecord]) -> float:
-    """Returns the time from the fault to the end of the last slow window."""
+    """Returns the seconds from the fault to the end of the last slow window.
+
+    The result is 0 without a slow window, and infinite if one of the last two
+    windows is slow.
+    """
     before = [
         ttft_s(r)
         for r in records
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -16,11 +16,15 @@
 from knapweedarch import index, models, prefixes, scheduler
 
 ENDPOINT_COUNTS = (9, 100, 600)
+
+# Numbers of blocks in the index.
 INDEX_SIZES = (10_000, 100_000, 400_000)
 PROMPT_SIZES_MIB = (1, 4, 16)
 WINDOWS_S = (0.1, 1.0, 5.0)
 REPEATS = 5
 CHAIN_BLOCKS = 40
+
+# Number of runners that cache each block.
 REPLICAS = 2
 
 
@@ -60,8 +64,6 @@
 ) -> tuple[scheduler.Scheduler, list[tuple[int, ...]]]:
     """Creates a scheduler whose index holds `blocks` blocks.
 
-    Each block is cached by `REPLICAS` runners.
-
     Returns:
         The scheduler, and the chains of the blocks.
     """
@@ -88,7 +90,10 @@
 
 
 def submit_us(endpoints: int, blocks: int) -> float:
-    """Measures the CPU time to submit a prompt of `CHAIN_BLOCKS` blocks."""
+    """Measures the CPU time per request of `CHAIN_BLOCKS` blocks.
+
+    It includes the calls for submission, first token and end of the answer.
+    """
     sched, chains = filled_scheduler(endpoints, blocks)
     count = 200 if endpoints < 600 else 60
     clock = [0.0]
@@ -146,7 +151,7 @@
 
 
 def event_us(blocks_per_event: int, size: int) -> float:
-    """Measures the CPU time per cache event.
+    """Measures the CPU time per cache event, with `size` blocks in the index.
 
     All chains are stored, then all are evicted.
     """
@@ -192,7 +197,7 @@
 
 
 def hash_us(mebibytes: int) -> float:
-    """Measures the CPU time per MiB of a prompt hashed in steps."""
+    """Measures the CPU time to hash a prompt in steps, per MiB."""
     prompt = random.Random(1).randbytes(mebibytes << 20)
 
     def apply() -> int:
@@ -205,7 +210,12 @@
 
 
 class _RecordingSimulation(world.Simulation):
-    """Simulation that records every cache change of every runner."""
+    """Simulation that records every cache change of every runner.
+
+    Attributes:
+        changes: Time, runner name, kind and block of each change.
+        parents: The block before each block of the trace; 0 for a first one.
+    """
 
     def cache_changed(self, runner, change, blocks) -> None:
         """Records a change, then sends its event."""
@@ -217,7 +227,7 @@
 def record_block_changes(
     deployment: workloads.Deployment,
 ) -> _RecordingSimulation:
-    """Runs the steady scenario and records the block changes."""
+    """Runs the steady scenario of a deployment and records block changes."""
     requests = workloads.make_requests(
         deployment,
         1,
@@ -241,8 +251,8 @@
 def changes_per_chain_run(sim: _RecordingSimulation, window_s: float) -> float:
     """Returns block changes per chain run if events are sent once per window.
 
-    A chain run is a sequence of changes of one kind in which each block is
-    the parent of the next.
+    A chain run is a sequence of changes of one kind at one runner in one
+    window, in which each block is the parent of the next.
     """
     groups: dict[tuple, set[int]] = {}
     for at, name, change, block in sim.changes:
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -15,7 +15,8 @@
 # of the log or manuscript.
 RING_BLOCKS = {"huts": 4, "bindery": 2}
 
-# Load relative to the mean above which a runner moves to the end of the order.
+# Occupancy relative to the mean above which a runner moves to the end of the
+# order.
 RING_BOUND = 1.25
 
 Candidates = list[placement.Candidate]
@@ -48,7 +49,7 @@
     _turn = 0
 
     def candidates(self, *args) -> Candidates:
-        """Returns candidates from the runner after the previous start."""
+        """Returns candidates by id, starting one runner later on each call."""
         found = sorted(super().candidates(*args), key=lambda c: c.endpoint.id)
         self._turn += 1
         turn = self._turn % len(found)
@@ -73,7 +74,13 @@
 
 
 class BoundedRing(placement.Placer):
-    """Baseline that uses consistent hashing by prefix with bounded load."""
+    """Baseline that uses consistent hashing by prefix with bounded load.
+
+    Attributes:
+        ring_blocks: Number of leading prompt blocks that determine the ring
+            position.
+        points: Number of ring points of each runner.
+    """
 
     tries = world.RUNNERS
     ring_blocks = 4
@@ -105,7 +112,8 @@
         name: Name in reports.
         placer: Class of the placer.
         change: Function that changes the scheduler configuration.
-        no_lag: Whether events and reports arrive without delay or loss.
+        no_lag: Whether events and reports arrive without delay or loss, and
+            every router has the shortest network delay to every runner.
         no_events: Whether no cache event reaches a router.
         owner_lookup: Whether a request waits for a look-up at the router that
             owns its prefix.
--- a/bench/virtual_group.py
+++ b/bench/virtual_group.py
@@ -1,7 +1,7 @@
 """Replicas with simulated disks, clocks and links, and fault injection.
 
-Scenarios and benchmarks of elections use it. Time is virtual and all random
-choices are seeded.
+Scenarios of the replicated log and benchmarks of elections use it. Time is
+virtual, in seconds, and all random choices are seeded.
 """
 
 import heapq
@@ -25,6 +25,9 @@
 )
 
 STEP_S = 0.025
+
+# Largest deviation of a member's clock rate from 1. Any two rates then differ
+# by less than the 5% that the leader lease tolerates.
 MAX_CLOCK_RATE_ERROR = 0.024
 
 
@@ -59,7 +62,19 @@
 
 @attrs.define
 class Node:
-    """A member process, running or stopped."""
+    """A member process, running or stopped.
+
+    Attributes:
+        name: Name of the member.
+        disk: Its synced data.
+        clock_rate: Seconds of its clock per second of virtual time.
+        replica: Its replica; None while it is stopped.
+        frozen_until: End of its suspension in virtual time.
+        state: Data of the applied entries.
+        applied: Index of the last applied entry.
+        inbox: Pairs of sender and message that it has not received yet.
+        crash_before_save: Whether it crashes before its next save.
+    """
 
     name: str
     disk: Disk
@@ -72,7 +87,7 @@
     crash_before_save: bool = False
 
     def clock(self, now: float) -> float:
-        """Returns the time of the member's local clock."""
+        """Returns the local clock's time at a virtual time, in seconds."""
         return now * self.clock_rate + 100.0
 
     def lease_end(self, now: float) -> float:
@@ -83,7 +98,25 @@
 
 
 class VirtualGroup:
-    """Members connected by a simulated network that can lose messages."""
+    """Members connected by a simulated network that can lose messages.
+
+    Attributes:
+        now: Virtual time in seconds.
+        step_s: Virtual time of one step.
+        loss: Probability that a message is lost.
+        duplication: Probability that a message is sent twice.
+        delay: Minimum and maximum delay of a message in seconds.
+        blocked_links: Pairs of sender and receiver whose messages are dropped.
+        compact_interval: Number of entries between snapshots; 0 for none.
+        replica_class: Class of the replicas.
+        save_before_send: Whether output is saved before it is sent. If not, a
+            member that crashes before a save has sent its messages.
+        keep_identity: Whether a member that lost its disk keeps its identity.
+        record_message_sizes: Whether `largest_message` is kept up to date.
+        largest_message: Size in bytes of the largest message sent.
+        elections: Number of terms in which a leader was seen.
+        nodes: The members by name.
+    """
 
     def __init__(
         self,
@@ -184,7 +217,7 @@
         return self._member(self.nodes[name], False)
 
     def may_be_voter(self, name: str) -> bool:
-        """Tells whether any member may count this one as a voter.
+        """Returns whether any member may count this one as a voter.
 
         This is unknown while a member is stopped; the result is then true.
         """
@@ -196,7 +229,11 @@
         ) or any(n.replica is None for n in self.nodes.values())
 
     def membership_repaired(self) -> bool:
-        """Tells whether the leader's voters are the present identities."""
+        """Returns whether the leader's voters are the present identities.
+
+        Without a lease holder, or while a membership change is pending, the
+        result is false.
+        """
         node = self.lease_holder()
         if node is None or node.replica.members_pending:
             return False
@@ -205,7 +242,7 @@
         }
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Suspends a member for a time; its incoming messages queue up."""
+        """Suspends a member; its incoming messages queue up."""
         self.nodes[name].frozen_until = self.now + seconds
 
     def isolate(self, name: str) -> None:
@@ -244,20 +281,24 @@
         return node.lease_end(self.now) > self.now
 
     def propose(self, data: bytes) -> int | None:
-        """Proposes data to the leader; returns None without a leader."""
+        """Proposes data to the leader.
+
+        Returns:
+            The index of the entry; None without a leader.
+        """
         node = self.leader()
         if node is None:
             return None
         return node.replica.propose(data, node.clock(self.now))
 
     def run(self, seconds: float) -> None:
-        """Runs the group for a time in seconds."""
+        """Runs the group for a virtual time in seconds."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.step()
 
     def run_until(self, condition, limit_s: float) -> float:
-        """Runs until a condition holds; returns the elapsed virtual time.
+        """Runs until a condition holds; returns the elapsed virtual seconds.
 
         Raises:
             AssertionError: The condition did not hold within the limit.
@@ -359,7 +400,7 @@
             node.state.append(entry.data)
 
     def wait_for_leader(self) -> tuple[str, ...]:
-        """Runs until a leader holds a lease.
+        """Runs until a leader holds a lease, and 0.3 s longer.
 
         Returns:
             The name of the leader, then those of the other members.
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -77,9 +77,8 @@
         generate: Function that generates the requests of a run.
         steady: Load of the steady scenario, as a fraction of the ideal
             capacity that `utilisation` uses.
-        capacity: Highest load, as a fraction of the ideal capacity in steps
-            of 0.1, at which the reference answers 99 of 100 requests of each
-            class in time.
+        capacity: Highest multiple of 0.1 of the ideal capacity at which the
+            reference answers 99 of 100 requests of each class in time.
     """
 
     name: str
@@ -107,7 +106,17 @@
 
 
 class TraceBuilder:
-    """Builds the trace of one run."""
+    """Builds the trace of one run.
+
+    Attributes:
+        deployment: The deployment whose traffic is generated.
+        rng: Random numbers of the trace.
+        scale: Factor on all arrival rates.
+        duration_s: Length of the run.
+        shift_at: Time at which the hot set changes, in seconds; None for
+            never.
+        requests: The requests added so far.
+    """
 
     def __init__(
         self,
@@ -134,9 +143,10 @@
         tail_tokens: int,
         out_tokens: int,
     ) -> None:
-        """Adds a request that arrives within the run.
+        """Adds a request, unless it arrives outside the run.
 
-        During the ramp a request is dropped at random.
+        During the ramp requests are dropped at random, so that the load grows
+        from zero.
         """
         if not 0 <= at < self.duration_s:
             return
@@ -163,9 +173,10 @@
     def arrivals(
         self, rate: float, start: float = 0.0, burst: float = 0.0
     ) -> Iterator[float]:
-        """Yields Poisson arrival times.
+        """Yields Poisson arrival times in seconds; `rate` is per second.
 
-        In 3 s of every 20 s the rate is higher by the factor `1 + burst`.
+        In 3 s of every 20 s the rate is higher by the factor `1 + burst`. A
+        negative `start` is for conversations that began before the run.
         """
         now = start
         peak_rate = rate * (1 + burst)
@@ -332,8 +343,9 @@
 ) -> float:
     """Returns the load as a fraction of the capacity with ideal caches.
 
-    It is the larger of the shares of prefill time and of batch slots needed if
-    every block is computed once and never evicted and all batches are full.
+    It is the larger of two shares: of the prefill time and of the batch slots.
+    Both assume that every block is computed once and never evicted, and that
+    all batches are full.
     """
     prefill = first_need_tokens(requests) / prefill_tokens_s * slowdown
     decode = sum(r.out_tokens for r in requests) * step_s * slowdown
--- a/bench/world.py
+++ b/bench/world.py
@@ -1,4 +1,7 @@
-"""Simulation of routers with the real scheduler, runners and delays."""
+"""Simulation of routers with the real scheduler, and of runners and delays.
+
+Times are virtual, in seconds from the start of a run.
+"""
 
 import heapq
 import random
@@ -17,7 +20,7 @@
 SNAPSHOT_CHECK_INTERVAL_S = 0.05
 
 # Time that a runner takes to answer with a snapshot. Events sent before the
-# snapshot may arrive after it; the event number identifies them.
+# snapshot may arrive after it; their numbers tell the router to ignore them.
 SNAPSHOT_TIME_S = 0.02
 
 # Time until routers detect a broken feed, and until the announcement of a
@@ -34,7 +37,7 @@
     """Delay and loss of cache events and load reports.
 
     Attributes:
-        base_s: Minimum delay of events and reports.
+        base_s: Minimum delay of events and reports; 0 for no delay at all.
         jitter_s: Mean of the exponential part of the delay.
         loss: Probability that an event does not reach a given router.
     """
@@ -53,7 +56,7 @@
 
     Attributes:
         request: The request.
-        first_at: Time at which the first token arrived at the router.
+        first_at: Virtual time at which the first token arrived at the router.
         refused: Reason if it was refused or late, otherwise empty.
         retries: Number of retries by routers.
         resubmits: Number of resubmissions after its router stopped.
@@ -71,7 +74,19 @@
 
 
 class Router:
-    """A router: its scheduler and its attempts in progress."""
+    """A router: its scheduler and its attempts in progress.
+
+    Attributes:
+        number: Number of the router.
+        data_centre: Name of its data centre.
+        generation: Number of times that it was stopped. A job sent in an
+            earlier generation is not delivered.
+        alive: Whether it runs.
+        scheduler: Its scheduler; None before the run.
+        jobs: Jobs and their records by attempt number.
+        waiting: Records of requests that wait at the scheduler, by id.
+        poll_at: Virtual time of the next poll; None if none is scheduled.
+    """
 
     def __init__(self, number: int, data_centre: str):
         self.number = number
@@ -85,7 +100,17 @@
 
 
 class Simulation:
-    """Runs one trace against one scheduler variant in virtual time."""
+    """Runs one trace against one scheduler variant in virtual time.
+
+    Attributes:
+        now: Virtual time in seconds.
+        deployment: The deployment that is simulated.
+        lag: Delay and loss of cache events and load reports.
+        rng: Random numbers of the simulation.
+        records: Outcome of each request of the trace.
+        runners: The runners by name.
+        routers: The routers by number.
+    """
 
     def __init__(
         self,
