--- a/features/steps/deployment_steps.py
+++ b/features/steps/deployment_steps.py
@@ -452,7 +452,7 @@
 
 
 @when("the relay blocks all traffic")
-def cut_relays(context):
+def partition_relays(context):
     for relay in context.relays:
         relay.set_partitioned(True)
 
--- a/features/steps/platform_site_steps.py
+++ b/features/steps/platform_site_steps.py
@@ -12,7 +12,7 @@
 from standins.platform_site import configuration, open_site
 
 SCENARIO_TIMEOUT_S = 60.0
-EVENT = re.compile(r"id: (\d+)\n")
+EVENT_ID = re.compile(r"id: (\d+)\n")
 
 
 class ScenarioPlan:
@@ -41,12 +41,12 @@
         anyio.run(run_actions)
 
 
-def proxy_name(number):
+def proxy_for_request(number):
     return f"proxy-{1 + number % 2}"
 
 
 def is_complete(answer, tokens):
-    numbers = [int(n) for n in EVENT.findall(answer.text)]
+    numbers = [int(n) for n in EVENT_ID.findall(answer.text)]
     return answer.status_code == 200 and numbers == list(range(1, tokens + 1))
 
 
@@ -79,12 +79,14 @@
     plan.tokens = tokens
 
     async def stream(site, number):
-        answer = await site.send_request(proxy_name(number), "/chat/x", tokens)
+        answer = await site.send_request(
+            proxy_for_request(number), "/chat/x", tokens
+        )
         plan.streams.append(answer)
 
     async def book(site, number):
         plan.bookings.append(
-            await site.send_request(proxy_name(number), "/booking/x")
+            await site.send_request(proxy_for_request(number), "/booking/x")
         )
 
     async def action(site):
@@ -104,7 +106,7 @@
     async def action(site):
         for number in range(count):
             answer = await site.send_request(
-                proxy_name(number), "/chat/x", tokens
+                proxy_for_request(number), "/chat/x", tokens
             )
             assert is_complete(answer, tokens), answer.text
 
@@ -119,7 +121,7 @@
     async def stream(site):
         for number in range(12):
             answer = await site.send_request(
-                proxy_name(number), "/chat/x", plan.tokens
+                proxy_for_request(number), "/chat/x", plan.tokens
             )
             plan.streams.append(answer)
 
@@ -208,8 +210,8 @@
 def check_computed_tokens(context):
     async def check(site):
         runs = [r for x in site.runners if x.model for r in x.runs]
-        read = sum(r.computed_tokens for r in runs)
-        assert read < 0.5 * 5090 * len(runs), read
+        computed_tokens = sum(r.computed_tokens for r in runs)
+        assert computed_tokens < 0.5 * 5090 * len(runs), computed_tokens
 
     context.plan.run(check)
 
@@ -252,7 +254,9 @@
         runner = site.runners[number - 1]
         before = len(runner.runs)
         for turn in range(count):
-            answer = await site.send_request(proxy_name(turn), "/chat/x", 2)
+            answer = await site.send_request(
+                proxy_for_request(turn), "/chat/x", 2
+            )
             assert is_complete(answer, 2), answer.text
         assert len(runner.runs) == before
 
--- a/spec/lease_spec.py
+++ b/spec/lease_spec.py
@@ -251,12 +251,12 @@
                 table = leader.grants
             elapsed = GRANT_TICKS - message.left
             grant = Message(GRANT_REPLY, max(0, left - elapsed), leader.applied)
-            answered = router._replace(messages=(*others, grant))
+            replied = router._replace(messages=(*others, grant))
             after = state._replace(
                 leaders=replace_item(
                     state.leaders, n, leader._replace(grants=table)
                 ),
-                routers=replace_item(state.routers, r, answered),
+                routers=replace_item(state.routers, r, replied),
             )
             out.append((f"grant {n} {label}", after))
 
--- a/spec/once_spec.py
+++ b/spec/once_spec.py
@@ -39,7 +39,7 @@
     answer: int | None = None
 
 
-def _command_key(command: Command) -> tuple[str, int]:
+def _sort_key(command: Command) -> tuple[str, int]:
     return command[:2]
 
 
@@ -112,7 +112,7 @@
     def transitions(self, state: State) -> list:
         """Lists the successors."""
         out: list = []
-        for command in sorted(state.commands, key=_command_key):
+        for command in sorted(state.commands, key=_sort_key):
             self._apply(state, command, out)
         for a, attempt in enumerate(state.attempts):
             self._reserve(state, a, attempt, out)
@@ -271,14 +271,14 @@
             ready = ready or attempt.phase == RESERVING
         if not ready or not self._may_send(state, a, attempt):
             return
-        late = state.was_unknown
+        was_unknown = state.was_unknown
         sent = attempt._replace(phase=SENT, network=IN_FLIGHT)
         after = self._with_attempt(state, a, sent, state.commands)
         out.append(
             (
                 f"send {a}",
                 after._replace(
-                    sent_after_unknown=state.sent_after_unknown or late
+                    sent_after_unknown=state.sent_after_unknown or was_unknown
                 ),
             )
         )
--- a/spec/replay_lease.py
+++ b/spec/replay_lease.py
@@ -36,7 +36,7 @@
     def _now(self) -> float:
         return self._ticks * TICK_S
 
-    def _clock(self, now: float) -> float:
+    def _router_clock(self, now: float) -> float:
         return 1000.0 + now / (1 + self._drift)
 
     def step(self, label: str, state: lease_spec.State) -> None:
@@ -69,8 +69,8 @@
                 # Counting the whole duration from when the renewal was sent
                 # gives the same end of the lease.
                 age = (lease_spec.GRANT_TICKS - int(left)) * TICK_S
-                sent_at = self._clock(self._now() - age)
-                now = self._clock(self._now())
+                sent_at = self._router_clock(self._now() - age)
+                now = self._router_clock(self._now())
                 self._leases[int(r)].granted(sent_at, LEASE_S, now)
 
     def find_mismatch(self, state: lease_spec.State) -> str | None:
@@ -79,7 +79,9 @@
             return self.fault
         now = self._now() + COMPARISON_OFFSET_S
         for r, router in enumerate(state.routers):
-            if self._leases[r].holds(self._clock(now)) != bool(router.lease):
+            if self._leases[r].holds(self._router_clock(now)) != bool(
+                router.lease
+            ):
                 return f"lease of router {r}"
         for n, leader in enumerate(state.leaders):
             for version in range(1, state.committed + 1):
--- a/spec/replay_log.py
+++ b/spec/replay_log.py
@@ -26,10 +26,10 @@
 
 MEMBER_NAMES = "abc"
 ELECTION_WAIT_S = 1.25
-VOTE_REFUSAL_S = 0.65
-HEARTBEAT_S = 0.11
-REPAIR_ROUNDS = 60
-MAX_ROUNDS = 12
+VOTE_REFUSAL_WAIT_S = 0.65
+HEARTBEAT_WAIT_S = 0.11
+MAX_REPAIR_HEARTBEATS = 60
+MAX_EXCHANGE_ROUNDS = 12
 # Identity 0 leads, and only 0 and 1 hold the first data entry, as in the
 # initial state of the specification.
 SETUP_LABELS = ("vote 1 0", "propose 0", "append 0 1 1")
@@ -166,7 +166,7 @@
 
     def _exchange(self, names: str, winner: str = "") -> None:
         """Exchanges messages until none is left or `winner` leads."""
-        for _ in range(MAX_ROUNDS):
+        for _ in range(MAX_EXCHANGE_ROUNDS):
             if winner and self._replicas[winner].role is Role.LEADER:
                 return
             sent = [self._sync_and_send(name, names) for name in names]
@@ -186,14 +186,14 @@
         if self._replicas[voter].role is Role.LEADER:
             # Having lost contact with a majority, the leader steps down.
             self._start_election(voter)
-        self._clocks[voter] += VOTE_REFUSAL_S
+        self._clocks[voter] += VOTE_REFUSAL_WAIT_S
         self._start_election(candidate)
         self._exchange(candidate + voter, candidate)
         won = self._replicas[candidate].role is Role.LEADER
         self.counts["elected"] += won
 
     def _send_heartbeat(self, name: str) -> None:
-        self._clocks[name] += HEARTBEAT_S
+        self._clocks[name] += HEARTBEAT_WAIT_S
         self._replicas[name].tick(self._clocks[name])
 
     def _lose_disk(self, name: str) -> None:
@@ -210,12 +210,12 @@
 
     def _repair(self, leader: str) -> None:
         """Exchanges messages until the voters are those of all disks."""
-        for _ in range(REPAIR_ROUNDS):
+        for _ in range(MAX_REPAIR_HEARTBEATS):
             if self._replicas[leader].role is not Role.LEADER:
                 return
             self._send_heartbeat(leader)
             for other in MEMBER_NAMES.replace(leader, ""):
-                self._clocks[other] += HEARTBEAT_S
+                self._clocks[other] += HEARTBEAT_WAIT_S
             self._exchange(MEMBER_NAMES)
             voters = {
                 m.identity for m in self._replicas[leader].members if m.voter
