--- a/features/deployment.feature
+++ b/features/deployment.feature
@@ -30,7 +30,8 @@
     And every answered deposit was run exactly once
 
   Scenario: Every process restarts at once
-    Guards against a cold start, and against lost records or rules.
+    Guards against a cold start that takes too long, and against lost records or
+    rules.
     Given a deposit was taken through router-1
     When every member and router is killed and started again
     Then router-1 serves a chat request within 5.0 s of its start
--- a/features/steps/deployment_steps.py
+++ b/features/steps/deployment_steps.py
@@ -441,8 +441,8 @@
 
 @then("that router is ready again within {bound:f} s")
 def check_ready_again(context, bound):
-    # The router keeps its lease only if it opens a new link in time, so its
-    # readiness is polled until the limit.
+    # A router that opens no new link stays ready until its lease expires, so
+    # its readiness is polled until the limit and the last result counts.
     until = time.monotonic() + bound
     cluster = context.cluster
     cluster.wait_ready("router-3", bound)
--- a/features/steps/platform_site_steps.py
+++ b/features/steps/platform_site_steps.py
@@ -12,6 +12,7 @@
 from standins.platform_site import configuration, open_site
 
 SCENARIO_TIMEOUT_S = 60.0
+# Number of a server-sent event; a stream numbers its events from 1.
 EVENT_ID = re.compile(r"id: (\d+)\n")
 
 
@@ -20,6 +21,13 @@
 
     A site is bound to one event loop, so the steps collect actions and the
     final step runs them all in one loop.
+
+    Attributes:
+        shape: Numbers of members, proxies and runners.
+        actions: Coroutine functions that are called with the site, in order.
+        streams: Responses to streamed requests.
+        bookings: Responses to bookings.
+        expected: Configuration that the site must return.
     """
 
     def __init__(self, members, proxies, runners):
@@ -42,10 +50,12 @@
 
 
 def proxy_for_request(number):
+    """Returns the proxy of a request; requests alternate between two."""
     return f"proxy-{1 + number % 2}"
 
 
 def is_complete(answer, tokens):
+    """Returns whether the answer is a stream of events 1 to `tokens`."""
     numbers = [int(n) for n in EVENT_ID.findall(answer.text)]
     return answer.status_code == 200 and numbers == list(range(1, tokens + 1))
 
@@ -211,6 +221,7 @@
     async def check(site):
         runs = [r for x in site.runners if x.model for r in x.runs]
         computed_tokens = sum(r.computed_tokens for r in runs)
+        # The prompt of each chat request has 5090 tokens.
         assert computed_tokens < 0.5 * 5090 * len(runs), computed_tokens
 
     context.plan.run(check)
--- a/scripts/check_catalogues.py
+++ b/scripts/check_catalogues.py
@@ -1,8 +1,9 @@
 """Checks that events and metrics agree with their catalogues and uses.
 
 With `--write`, writes docs/EVENTS.md and docs/METRICS.md from the registries.
-Without it, fails if a catalogue differs from its registry, if the package uses
-an unregistered event or metric, or if a registered name is unused.
+Without it, fails if a catalogue differs from its registry, if the package or
+the platform adapter uses an unregistered event or metric, or if a registered
+name is unused.
 """
 
 import ast
@@ -30,7 +31,15 @@
 
 @attrs.frozen
 class Use:
-    """A name in a call; `complete` is false if it is only a prefix."""
+    """An event or metric name in a call.
+
+    Attributes:
+        place: File and line of the call.
+        call: Name of the function or method.
+        receiver: Last name before the method; empty if there is none.
+        name: The event or metric name, or its literal start.
+        complete: Whether `name` is the whole name.
+    """
 
     place: str
     call: str
@@ -40,7 +49,7 @@
 
 
 def find_uses(path: pathlib.Path) -> Iterator[Use]:
-    """Finds the calls of one module that may log an event or use a metric."""
+    """Yields the names in calls that may log an event or use a metric."""
     for node in ast.walk(ast.parse(path.read_text())):
         match node:
             case ast.Call(
@@ -61,9 +70,10 @@
 
 
 def possible_names(node: ast.expr) -> Iterator[tuple[str, bool]]:
-    """Returns the names that can be read from the argument expression.
+    """Yields (name, complete) for each name that the argument may have.
 
-    The flag is false if only the literal start of the name is known.
+    `complete` is false if only the literal start of the name is known. Yields
+    nothing for expressions without a literal, such as variables.
     """
     match node:
         case ast.Constant(value=str(name)):
@@ -76,7 +86,7 @@
 
 
 def check_uses() -> tuple[list[str], set[str]]:
-    """Returns faults in the package and the unused registered names."""
+    """Returns uses of unregistered names, and the unused registered names."""
     faults: list[str] = []
     unused = set(EVENTS) | set(METRICS)
     paths = [
--- a/scripts/check_core.py
+++ b/scripts/check_core.py
@@ -29,6 +29,7 @@
     *("time", "datetime", "threading", "subprocess", "pathlib", "ssl"),
     *("selectors", "signal", "tempfile", "shutil", "statsd", "logging"),
 }
+# Attributes of `random` that do not use the global generator.
 RANDOM_ALLOWED = {"Random"}
 
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -25,7 +25,7 @@
 
 
 def print_heading(text: str) -> None:
-    """Prints a heading."""
+    """Prints the heading of a part of the demo."""
     print(f"\n== {text}", flush=True)
 
 
@@ -36,7 +36,10 @@
 
 
 def stream_chat(url: str, max_tokens: int, on_chunk=None) -> tuple[str, bool]:
-    """Streams one answer; returns its text and whether [DONE] arrived."""
+    """Streams one answer; returns its text and whether [DONE] arrived.
+
+    After each chunk, `on_chunk` is called with the text so far.
+    """
     body = {
         "model": "guide",
         "stream": True,
@@ -112,7 +115,7 @@
 
 
 def show_deposit(cluster: Deployment) -> None:
-    """Sends one deposit through both routers."""
+    """Sends one deposit through both routers and checks that it ran once."""
     first, second = (post_deposit(cluster, r) for r in ("router-1", "router-2"))
     print(first.status_code, first.text)
     print(second.status_code, second.text)
@@ -124,7 +127,7 @@
 
 
 def show_killed_runner(cluster: Deployment, expected_text: str) -> None:
-    """Kills the streaming runner and compares the text that arrives."""
+    """Kills the runner of a stream and checks that the text is complete."""
     killed = []
 
     def kill_streaming_runner(text: str) -> None:
--- a/scripts/run_checks.py
+++ b/scripts/run_checks.py
@@ -21,7 +21,10 @@
 
 
 def run_command(name: str, command: list[str]) -> bool:
-    """Runs one command and prints its output if it fails."""
+    """Runs one command and prints its output if it fails.
+
+    Returns whether it passed.
+    """
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     passed_check = done.returncode == 0
     print(f"{'ok  ' if passed_check else 'FAIL'} {name}")
@@ -31,7 +34,7 @@
 
 
 def known_red_names() -> set[str]:
-    """Reads the scenario names listed in KNOWN-RED.txt, one per 'test:'."""
+    """Returns the scenario names on the 'test:' lines of KNOWN-RED.txt."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text().splitlines()
@@ -83,6 +86,7 @@
             elif element["name"] in known_red_scenarios:
                 known_red += 1
                 print(f"KNOWN RED {name}")
+            # Arguments may deselect scenarios, which are then skipped.
             elif status != "skipped" or not arguments:
                 failed += 1
                 print(f"FAIL {name} ({status})")
--- a/spec/check.py
+++ b/spec/check.py
@@ -19,7 +19,10 @@
 
 
 def check_model(model: Model) -> bool:
-    """Checks one specification without a mutation."""
+    """Checks one specification without a mutation.
+
+    Returns whether every invariant holds in the whole state space.
+    """
     found = explore(model.build(""))
     ok = found.exhaustive and not found.refuted
     print(
@@ -35,7 +38,10 @@
 def check_mutation(
     model: Model, mutation: Mutation, refuting_traces: dict[str, list]
 ) -> bool:
-    """Checks that a mutation is refuted and records the refuting trace."""
+    """Checks one seeded mutation and records the trace that refutes it.
+
+    Returns whether the mutation violates each invariant that it must violate.
+    """
     found = explore(model.build(mutation.name), mutation.violates)
     ok = all(name in found.refuted for name in mutation.violates)
     if ok:
--- a/spec/checking.py
+++ b/spec/checking.py
@@ -9,6 +9,7 @@
 from minicheck import Protocol, check_safety
 from minicheck._core import SearchIncomplete
 
+# A search that reaches more states stops and is not exhaustive.
 MAX_STATES = 1_500_000
 
 
@@ -64,7 +65,11 @@
 
 
 def _stop_when_refuted(protocol: Protocol, wanted: frozenset[str]) -> None:
-    """Ends the search once no further violation is wanted."""
+    """Changes the protocol so that its search ends early.
+
+    It ends when each wanted invariant is violated or, if none are wanted, at
+    the first violation.
+    """
     outstanding = set(wanted or protocol.invariants)
     original_transitions = protocol.transitions
 
@@ -94,7 +99,8 @@
 def explore(protocol: Protocol, wanted: tuple[str, ...] = ()) -> SearchResult:
     """Visits the reachable states until each wanted invariant is refuted.
 
-    If no invariants are given, the search stops at the first violation.
+    If no invariants are wanted, the search stops at the first violation. The
+    protocol is changed, so each search needs a new one.
     """
     start = time.process_time()
     _stop_when_refuted(protocol, frozenset(wanted))
@@ -119,8 +125,9 @@
 def walk(protocol: Protocol, rng: random.Random, steps: int) -> list:
     """Returns a random trace as (label, state), without the initial state.
 
-    Each kind of step is equally likely, so that kinds with few successors are
-    taken as often as those with many.
+    It ends after `steps` steps or in a state without successors. Each kind of
+    step is equally likely, so that kinds with few successors are taken as often
+    as those with many.
     """
     trace, state = [], protocol.initial
     for _ in range(steps):
@@ -137,7 +144,11 @@
 
 
 def follow(protocol: Protocol, labels: list[str]) -> list:
-    """Returns the trace with the given labels as (label, state)."""
+    """Returns the trace with the given labels as (label, state).
+
+    Raises:
+        KeyError: No step with the next label is possible.
+    """
     trace, state = [], protocol.initial
     for label in labels:
         state = dict(protocol.transitions(state))[label]
--- a/spec/lease_spec.py
+++ b/spec/lease_spec.py
@@ -1,8 +1,8 @@
 """Specification of router leases and of changes acknowledged as in force.
 
 Time is counted in ticks. `GRANT_TICKS` is the time for which the leader counts
-a lease (2.1 s). The router's clock may be the slowest one allowed, on which
-2.0 s last as long. A suspended process is one whose steps are all delayed.
+a lease (2.1 s). A router counts 2.0 s on its own clock, which take 2.1 s on the
+slowest clock allowed. A suspended process is one whose steps are all delayed.
 """
 
 from functools import partial
@@ -39,7 +39,9 @@
 class Message(NamedTuple):
     """A renewal or grant in flight.
 
-    `left` is the number of ticks left, counted from when the renewal was sent.
+    `left` is the number of ticks left of the lease, counted from when the
+    renewal was sent. `version` is the newest version that the sender has
+    applied.
     """
 
     kind: str
@@ -58,8 +60,9 @@
 class State(NamedTuple):
     """State of the whole system; the last of `leaders` has the newest term.
 
-    `answered` is the newest version acknowledged as in force. `reverted` is set
-    when a running router goes back to an older version.
+    `committed` is the newest committed version, `answered` the newest one
+    acknowledged as in force. `reverted` is set when a running router goes back
+    to an older version.
     """
 
     committed: int
@@ -74,7 +77,15 @@
 
 
 class LeaseSpec:
-    """Transitions of the lease protocol within bounds."""
+    """Transitions of the lease protocol within bounds.
+
+    Args:
+        routers: Number of routers.
+        leaders: Maximum number of leaders, one per term.
+        messages: Maximum number of messages in flight for each router.
+        versions: Maximum number of committed changes.
+        mutation: Name of the seeded fault; "" is none.
+    """
 
     def __init__(
         self,
@@ -97,7 +108,7 @@
         return State(0, 0, (leader,), (router,) * self.routers)
 
     def transitions(self, state: State) -> list:
-        """Lists the successors."""
+        """Returns the successors as (label, state)."""
         out: list = []
         self._tick(state, out)
         self._heartbeat(state, out)
@@ -288,7 +299,7 @@
 
 
 def in_force_everywhere(state: dict) -> bool:
-    """Every router with a lease has applied all acknowledged changes."""
+    """Returns whether routers with a lease applied all acknowledged changes."""
     return all(
         router.version >= state["answered"]
         for router in state["routers"]
@@ -297,12 +308,12 @@
 
 
 def never_reverts(state: dict) -> bool:
-    """A running router never goes back to an older version."""
+    """Returns whether no running router went back to an older version."""
     return not state["reverted"]
 
 
 def no_change_is_held_up(state: dict) -> bool:
-    """No lease outlasts the time by which a change must be in force."""
+    """Returns whether no lease delays a change beyond its time limit."""
     return not any(
         ticks and known < version
         for leader in state["leaders"]
--- a/spec/log_spec.py
+++ b/spec/log_spec.py
@@ -45,10 +45,10 @@
 class State(NamedTuple):
     """State of the whole system.
 
-    `committed` and `commit_term` are the log and the term of the latest commit.
-    `elected` holds the winners of each term. `contradicted` is set when a
-    commit contradicts an earlier one. `losses` counts lost disks; `repaired`
-    is set once the latest loss has been repaired.
+    `committed` is the committed log, `commit_term` the term of the leader that
+    made the latest commit. `elected` holds the winners of each term.
+    `contradicted` is set when a commit contradicts an earlier one. `losses`
+    counts lost disks; `repaired` is set once the latest loss has been repaired.
     """
 
     nodes: tuple[Node, ...]
@@ -77,7 +77,7 @@
 
 
 def merge(log: tuple, sent: tuple) -> tuple:
-    """Appends the missing entries; truncates only at a conflicting entry."""
+    """Returns `log` after an append; only a conflicting entry truncates it."""
     for i, entry in enumerate(sent):
         if i >= len(log) or log[i] != entry:
             return sent
@@ -85,7 +85,15 @@
 
 
 class LogSpec:
-    """Transitions of the replicated log within bounds."""
+    """Transitions of the replicated log within bounds.
+
+    Args:
+        max_term: Highest term.
+        max_log: Maximum number of entries in a leader's log.
+        max_losses: Maximum number of lost disks, each of which a new identity
+            replaces; 0 means no replacements.
+        mutation: Name of the seeded fault; "" is none.
+    """
 
     def __init__(
         self, max_term: int, max_log: int, max_losses: int, mutation: str
@@ -116,7 +124,7 @@
         return State(nodes, committed_log, len(committed_log), elected)
 
     def transitions(self, state: State) -> list:
-        """Lists the successors."""
+        """Returns the successors as (label, state)."""
         out: list = []
         for n, node in enumerate(state.nodes):
             if node.role in (LOST, UNUSED):
@@ -240,7 +248,10 @@
                     out.append((label, state._replace(nodes=nodes)))
 
     def _sizes(self, node: Node) -> range:
-        """Returns the prefix lengths to send; with replacements, only all."""
+        """Returns the lengths of the prefixes that an append may carry.
+
+        With replacements, an append carries the whole log.
+        """
         size = len(node.log)
         return range(size if self.max_losses else 0, size + 1)
 
@@ -300,10 +311,10 @@
         out.append((f"lose {n}", lost))
 
     def _change_members(self, state: State, n: int, node: Node, out: list):
-        """Adds the replacement or removes the lost voter.
+        """Removes the lost voter, then adds the replacement.
 
-        Only one change may be pending, and the leader must have committed an
-        entry of its own term.
+        The replacement must hold the committed log. Only one change may be
+        pending, and the leader must have committed an entry of its own term.
         """
         if not state.losses or state.repaired:
             return
@@ -331,12 +342,12 @@
 
 
 def one_leader_per_term(state: dict) -> bool:
-    """No term has two leaders."""
+    """Returns whether no term has two leaders."""
     return all(len(winners) <= 1 for winners in state["elected"])
 
 
 def committed_stays(state: dict) -> bool:
-    """Commits agree, and each later leader holds every committed entry."""
+    """Returns whether commits agree and later leaders hold them all."""
     if state["contradicted"]:
         return False
     committed_log, term = state["committed"], state["commit_term"]
@@ -348,7 +359,12 @@
 
 
 def blank_never_counts(state: dict) -> bool:
-    """An identity still stores each vote and entry that it acknowledged."""
+    """Returns whether identities store all that they acknowledged.
+
+    A candidate counts a vote only of an identity that still has the term of the
+    vote or a newer one. A leader counts an entry only on an identity whose log
+    is still long enough or whose term is newer.
+    """
     nodes = state["nodes"]
     for node in nodes:
         for v in node.votes:
@@ -363,7 +379,7 @@
 
 
 def survivors_hold_committed(state: dict) -> bool:
-    """If a majority of voters is left, one holds all committed entries."""
+    """Returns whether a node holds all commits if a majority is left."""
     committed_log = state["committed"]
     voters = members_of(committed_log)
     alive = [v for v in voters if state["nodes"][v].role < LOST]
--- a/spec/once_spec.py
+++ b/spec/once_spec.py
@@ -31,7 +31,10 @@
 
 
 class Command(NamedTuple):
-    """A command in flight to the log; a settle sets the record to `status`."""
+    """A command in flight to the log.
+
+    `verb` is "reserve" or "settle"; a settle sets the record to `status`.
+    """
 
     verb: str
     attempt: int
@@ -46,9 +49,10 @@
 class Attempt(NamedTuple):
     """A caller's request.
 
-    `reply` is the log's reply in flight, `session` the lease session in which
-    the key was reserved. `reported` and `answer` are the outcome and answer
-    reported to the caller. `network` is the state of the call to the service.
+    `reply` is the log's reply in flight and `reply_answer` the stored answer in
+    it. `session` is the lease session in which the key was reserved. `reported`
+    and `answer` are the outcome and answer reported to the caller. `network` is
+    the state of the call to the service.
     """
 
     phase: int = IDLE
@@ -66,7 +70,8 @@
     `leases` holds (session, running) for each router. `repeats` and `crashes`
     are how many more repeated commands and crashes may happen, `runs` counts
     the runs of the key at the service. `was_unknown` is set once the status of
-    the record has been unknown.
+    the record has been unknown, `sent_after_unknown` once a request is sent
+    after that.
     """
 
     record: Record | None
@@ -87,7 +92,14 @@
 
 
 class OnceSpec:
-    """Transitions of the at-most-once record within bounds."""
+    """Transitions of the at-most-once record within bounds.
+
+    Args:
+        repeats: Maximum number of repeated commands.
+        crashes: Maximum number of router crashes.
+        sessions: For each router, how often it may lose and regain its lease.
+        mutation: Name of the seeded fault; "" is none.
+    """
 
     def __init__(
         self,
@@ -110,7 +122,7 @@
         )
 
     def transitions(self, state: State) -> list:
-        """Lists the successors."""
+        """Returns the successors as (label, state)."""
         out: list = []
         for command in sorted(state.commands, key=_sort_key):
             self._apply(state, command, out)
@@ -132,7 +144,7 @@
     def apply_to_record(
         self, record: Record | None, command: Command
     ) -> tuple[Record | None, str, int | None]:
-        """Returns the new record, and the status and answer for a reserve."""
+        """Returns the new record and, for a reserve, the reply and answer."""
         a = command.attempt
         if command.verb == "reserve":
             if record is None:
@@ -335,12 +347,12 @@
 
 
 def runs_once(state: dict) -> bool:
-    """The service runs the key at most once."""
+    """Returns whether the service ran the key at most once."""
     return state["runs"] <= 1
 
 
 def answer_of_its_key(state: dict) -> bool:
-    """Stored and reported answers come from a run of this key."""
+    """Returns whether stored and reported answers are of runs of this key."""
     attempts, record = state["attempts"], state["record"]
     answers = [x.answer for x in attempts if x.reported == DONE]
     if record is not None and record.status == DONE:
@@ -352,12 +364,12 @@
 
 
 def no_send_after_unknown(state: dict) -> bool:
-    """No attempt sends after the outcome was recorded as unknown."""
+    """Returns whether nothing was sent after the status became unknown."""
     return not state["sent_after_unknown"]
 
 
 def not_run_is_final(state: dict) -> bool:
-    """A call reported as not run has not run and cannot run later."""
+    """Returns whether calls reported as not run never ran and cannot run."""
     return all(
         x.network in (ABSENT, DROPPED) and x.phase == CLOSED
         for x in state["attempts"]
--- a/spec/replay.py
+++ b/spec/replay.py
@@ -1,8 +1,9 @@
 """Replays traces of the specifications against the core modules.
 
-Seeded random traces must agree with the code. Traces that refute a mutation,
-and test doubles with a seeded fault, must disagree with it; otherwise the
-replay could not detect a fault of the code.
+Seeded random traces must agree with the code. The replay must also detect
+faults: traces that refute a mutation of the record must disagree with the code,
+replicas must keep the invariants on traces that refute a mutation of the log,
+and test doubles with a seeded fault must be detected.
 """
 
 import random
@@ -19,6 +20,7 @@
 )
 from spec.checking import walk
 
+# Number of random traces and maximum steps of each.
 ONCE_WALKS, ONCE_STEPS = 1_000, 40
 LEASE_WALKS, LEASE_STEPS = 300, 60
 LOG_WALKS, LOG_STEPS = 200, 60
@@ -37,6 +39,7 @@
     ("vote not synced", "forget_votes", False),
     ("count the blank member", "keep_identity", True),
 )
+# Drift of a router clock as a fraction, above `leases.MAX_CLOCK_DRIFT`.
 EXCESSIVE_DRIFT = 0.12
 
 
@@ -48,7 +51,11 @@
 
 
 def check_once(refuting_traces: Mapping[str, list]) -> bool:
-    """Replays the record specification on the replicated state machine."""
+    """Replays the record specification on the replicated state machine.
+
+    Returns whether the code agrees with every random trace and disagrees with
+    the traces of the mutations.
+    """
     faults, applied = [], Counter()
     protocol = once_spec.build(1, 1, (1, 1), "")
     for seed in range(ONCE_WALKS):
@@ -74,7 +81,11 @@
 
 
 def check_lease() -> bool:
-    """Replays the lease specification on `LeaseTable` and `Lease`."""
+    """Replays the lease specification on `LeaseTable` and `Lease`.
+
+    Returns whether the code agrees with every trace and a router clock that
+    exceeds the drift bound is detected.
+    """
     faults, steps = [], 0
     protocol = lease_spec.build(2, 3, 2, 2, "")
     detected = 0
@@ -103,7 +114,11 @@
 
 
 def check_log(refuting_traces: Mapping[str, list]) -> bool:
-    """Replays traces of the log specification on replicas."""
+    """Replays traces of the log specification on replicas.
+
+    Returns whether the replicas keep the invariants on every trace, each test
+    double violates one, and every kind of event occurred.
+    """
     faults, counts = [], Counter()
     plain = log_spec.build(4, 3, 0, "")
     replacing = log_spec.build(4, 6, 2, "")
--- a/spec/replay_lease.py
+++ b/spec/replay_lease.py
@@ -21,8 +21,16 @@
 class LeaseReplay:
     """Lease tables and leases of the code, driven by the steps of a trace.
 
+    Lease tables use the time in seconds since the start of the trace, leases
+    that of a router's clock.
+
+    Args:
+        routers: Number of routers.
+        drift: A router's clock takes 1 + `drift` seconds to count one second.
+
     Attributes:
-        fault: A step that the specification allows and the code refused.
+        fault: What the code refused although the specification allows it;
+            empty if nothing.
     """
 
     def __init__(self, routers: int, drift: float = MAX_CLOCK_DRIFT):
@@ -66,8 +74,8 @@
                 holder = f"{r}/{self._incarnations[int(r)]}"
                 self._tables[int(n)].grant(holder, int(applied), self._now())
             case ["take", r, "grant", left, _]:
-                # Counting the whole duration from when the renewal was sent
-                # gives the same end of the lease.
+                # A whole lease that is counted from `age` seconds ago ends when
+                # the granted one does, also if the leader granted less.
                 age = (lease_spec.GRANT_TICKS - int(left)) * TICK_S
                 sent_at = self._router_clock(self._now() - age)
                 now = self._router_clock(self._now())
@@ -97,7 +105,8 @@
 ) -> str | None:
     """Returns the first step at which code and specification differ.
 
-    Returns None if they agree on the whole trace.
+    Returns None if they agree on the whole trace. `LeaseReplay` describes
+    `routers` and `drift`.
     """
     replay = LeaseReplay(routers, drift)
     for i, (label, after) in enumerate(trace):
--- a/spec/replay_log.py
+++ b/spec/replay_log.py
@@ -25,6 +25,9 @@
 )
 
 MEMBER_NAMES = "abc"
+# Clock steps. Each exceeds the time that it waits out: the longest election
+# timeout (1.2 s), the time for which a voter refuses votes after it heard from
+# a leader (0.6 s), and the heartbeat interval (0.1 s).
 ELECTION_WAIT_S = 1.25
 VOTE_REFUSAL_WAIT_S = 0.65
 HEARTBEAT_WAIT_S = 0.11
@@ -44,7 +47,10 @@
     entries: list[Entry] = attrs.Factory(list)
 
     def save(self, output: Output, saves_votes: bool) -> None:
-        """Saves the output as a journal does; a test double saves no votes."""
+        """Saves the output as a journal does.
+
+        Without `saves_votes` (in a test double), term and vote are not saved.
+        """
         if output.hard_state and saves_votes:
             self.hard_state = output.hard_state
         if output.truncate_from is not None:
@@ -60,7 +66,8 @@
     """Three members with their disks.
 
     Identities 0, 1 and 2 of the specification start as members a, b and c; a
-    replacement identity runs on the member whose disk was lost.
+    replacement identity runs on the member whose disk was lost. Each member has
+    its own clock, in seconds.
 
     Args:
         with_leader: Whether identity 0 leads and has committed an entry at the
@@ -225,7 +232,11 @@
                 return
 
     def step(self, label: str) -> None:
-        """Applies a step of the specification and checks the invariants."""
+        """Applies a step of the specification and checks the invariants.
+
+        Raises:
+            InvariantViolationError: An invariant does not hold.
+        """
         self._make_step(label)
         self._check_leaders()
 
--- a/spec/replay_once.py
+++ b/spec/replay_once.py
@@ -56,8 +56,8 @@
 def find_mismatch(trace: list, restore_at: int = -1) -> str | None:
     """Returns the first step at which code and specification differ.
 
-    At step `restore_at`, the state is restored from its own snapshot. Returns
-    None if they agree on the whole trace.
+    Before step `restore_at` (-1: never), the state is restored from its own
+    snapshot. Returns None if they agree on the whole trace.
     """
     state = ControlState()
     for i, (label, after) in enumerate(trace):
