--- a/spec/replay_lease.py
+++ b/spec/replay_lease.py
@@ -21,8 +21,16 @@
 class LeaseReplay:
     """Lease tables and leases of the code, driven by the steps of a trace.
 
+    Lease tables use the time in seconds since the start of the trace, leases
+    that of a router's clock.
+
+    Args:
+        routers: Number of routers.
+        drift: A router's clock takes 1 + `drift` seconds to count one second.
+
     Attributes:
-        fault: A step that the specification allows and the code refused.
+        fault: What the code refused although the specification allows it;
+            empty if nothing.
     """
 
     def __init__(self, routers: int, drift: float = MAX_CLOCK_DRIFT):
@@ -36,7 +44,7 @@
     def _now(self) -> float:
         return self._ticks * TICK_S
 
-    def _clock(self, now: float) -> float:
+    def _router_clock(self, now: float) -> float:
         return 1000.0 + now / (1 + self._drift)
 
     def step(self, label: str, state: lease_spec.State) -> None:
@@ -66,11 +74,11 @@
                 holder = f"{r}/{self._incarnations[int(r)]}"
                 self._tables[int(n)].grant(holder, int(applied), self._now())
             case ["take", r, "grant", left, _]:
-                # Counting the whole duration from when the renewal was sent
-                # gives the same end of the lease.
+                # A whole lease that is counted from `age` seconds ago ends when
+                # the granted one does, also if the leader granted less.
                 age = (lease_spec.GRANT_TICKS - int(left)) * TICK_S
-                sent_at = self._clock(self._now() - age)
-                now = self._clock(self._now())
+                sent_at = self._router_clock(self._now() - age)
+                now = self._router_clock(self._now())
                 self._leases[int(r)].granted(sent_at, LEASE_S, now)
 
     def find_mismatch(self, state: lease_spec.State) -> str | None:
@@ -79,7 +87,9 @@
             return self.fault
         now = self._now() + COMPARISON_OFFSET_S
         for r, router in enumerate(state.routers):
-            if self._leases[r].holds(self._clock(now)) != bool(router.lease):
+            if self._leases[r].holds(self._router_clock(now)) != bool(
+                router.lease
+            ):
                 return f"lease of router {r}"
         for n, leader in enumerate(state.leaders):
             for version in range(1, state.committed + 1):
@@ -95,7 +105,8 @@
 ) -> str | None:
     """Returns the first step at which code and specification differ.
 
-    Returns None if they agree on the whole trace.
+    Returns None if they agree on the whole trace. `LeaseReplay` describes
+    `routers` and `drift`.
     """
     replay = LeaseReplay(routers, drift)
     for i, (label, after) in enumerate(trace):
--- a/spec/replay_log.py
+++ b/spec/replay_log.py
@@ -25,11 +25,14 @@
 )
 
 MEMBER_NAMES = "abc"
+# Clock steps. Each exceeds the time that it waits out: the longest election
+# timeout (1.2 s), the time for which a voter refuses votes after it heard from
+# a leader (0.6 s), and the heartbeat interval (0.1 s).
 ELECTION_WAIT_S = 1.25
-VOTE_REFUSAL_S = 0.65
-HEARTBEAT_S = 0.11
-REPAIR_ROUNDS = 60
-MAX_ROUNDS = 12
+VOTE_REFUSAL_WAIT_S = 0.65
+HEARTBEAT_WAIT_S = 0.11
+MAX_REPAIR_HEARTBEATS = 60
+MAX_EXCHANGE_ROUNDS = 12
 # Identity 0 leads, and only 0 and 1 hold the first data entry, as in the
 # initial state of the specification.
 SETUP_LABELS = ("vote 1 0", "propose 0", "append 0 1 1")
@@ -44,7 +47,10 @@
     entries: list[Entry] = attrs.Factory(list)
 
     def save(self, output: Output, saves_votes: bool) -> None:
-        """Saves the output as a journal does; a test double saves no votes."""
+        """Saves the output as a journal does.
+
+        Without `saves_votes` (in a test double), term and vote are not saved.
+        """
         if output.hard_state and saves_votes:
             self.hard_state = output.hard_state
         if output.truncate_from is not None:
@@ -60,7 +66,8 @@
     """Three members with their disks.
 
     Identities 0, 1 and 2 of the specification start as members a, b and c; a
-    replacement identity runs on the member whose disk was lost.
+    replacement identity runs on the member whose disk was lost. Each member has
+    its own clock, in seconds.
 
     Args:
         with_leader: Whether identity 0 leads and has committed an entry at the
@@ -166,7 +173,7 @@
 
     def _exchange(self, names: str, winner: str = "") -> None:
         """Exchanges messages until none is left or `winner` leads."""
-        for _ in range(MAX_ROUNDS):
+        for _ in range(MAX_EXCHANGE_ROUNDS):
             if winner and self._replicas[winner].role is Role.LEADER:
                 return
             sent = [self._sync_and_send(name, names) for name in names]
@@ -186,14 +193,14 @@
         if self._replicas[voter].role is Role.LEADER:
             # Having lost contact with a majority, the leader steps down.
             self._start_election(voter)
-        self._clocks[voter] += VOTE_REFUSAL_S
+        self._clocks[voter] += VOTE_REFUSAL_WAIT_S
         self._start_election(candidate)
         self._exchange(candidate + voter, candidate)
         won = self._replicas[candidate].role is Role.LEADER
         self.counts["elected"] += won
 
     def _send_heartbeat(self, name: str) -> None:
-        self._clocks[name] += HEARTBEAT_S
+        self._clocks[name] += HEARTBEAT_WAIT_S
         self._replicas[name].tick(self._clocks[name])
 
     def _lose_disk(self, name: str) -> None:
@@ -210,12 +217,12 @@
 
     def _repair(self, leader: str) -> None:
         """Exchanges messages until the voters are those of all disks."""
-        for _ in range(REPAIR_ROUNDS):
+        for _ in range(MAX_REPAIR_HEARTBEATS):
             if self._replicas[leader].role is not Role.LEADER:
                 return
             self._send_heartbeat(leader)
             for other in MEMBER_NAMES.replace(leader, ""):
-                self._clocks[other] += HEARTBEAT_S
+                self._clocks[other] += HEARTBEAT_WAIT_S
             self._exchange(MEMBER_NAMES)
             voters = {
                 m.identity for m in self._replicas[leader].members if m.voter
@@ -225,7 +232,11 @@
                 return
 
     def step(self, label: str) -> None:
-        """Applies a step of the specification and checks the invariants."""
+        """Applies a step of the specification and checks the invariants.
+
+        Raises:
+            InvariantViolationError: An invariant does not hold.
+        """
         self._make_step(label)
         self._check_leaders()
 
