--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -162,13 +162,13 @@
 
 @given("the lease expires after {checks:d} check")
 def expire_lease_after_checks(context, checks):
-    context.harness.routers[0].refuse_after_checks = checks
+    context.harness.routers[0].checks_before_refusal = checks
 
 
 @given("the router stops after {checks:d} check")
 def stop_router_after_checks(context, checks):
     router = context.harness.routers[0]
-    router.refuse_after_checks = checks
+    router.checks_before_refusal = checks
     router.refusal_after_checks = RefusalReason.STOPPING
 
 
--- a/knapweedarch/adapters.py
+++ b/knapweedarch/adapters.py
@@ -18,8 +18,8 @@
 from knapweedarch.chat_streams import ChatStream
 from knapweedarch.exceptions import EndpointError
 from knapweedarch.exchanges import (
+    CheckSend,
     Exchange,
-    MaySend,
     has_framing,
     read_body,
     send,
@@ -103,7 +103,7 @@
         body: bytes,
         request_id: str,
         attempt_id: str,
-        may_send: MaySend,
+        check_send: CheckSend,
         first_event_s: float,
     ) -> AsyncIterator[ChatStream]:
         """Sends a chat request to a runner and opens the response stream.
@@ -113,12 +113,12 @@
             body: JSON body for the runner.
             request_id: Request id that the response must carry.
             attempt_id: Attempt id that the response must carry.
-            may_send: Called right before the first byte is written.
+            check_send: Called right before the first byte is written.
             first_event_s: Timeout for the first event in seconds.
 
         Raises:
             EndpointError: The runner did not accept the request.
-            SendRefusedError: `may_send` returned a reason to refuse.
+            SendRefusedError: `check_send` returned a reason to refuse.
         """
         ticket, endpoint = attempt.ticket, attempt.endpoint
         headers = {
@@ -134,7 +134,7 @@
         exchange = self._exchange(
             "POST", endpoint.url + "/v1/chat/completions", headers, body
         )
-        async with send(self._transport, exchange, may_send, first_event_s):
+        async with send(self._transport, exchange, check_send, first_event_s):
             await self._check_chat_response(exchange, request_id, attempt_id)
             elapsed_s = self._clock.now() - started_at
             stream = ChatStream(exchange, max(0.0, first_event_s - elapsed_s))
@@ -149,7 +149,7 @@
         headers: Mapping[str, str],
         body: bytes,
         timeout_s: float,
-        may_send: MaySend,
+        check_send: CheckSend,
         own_connection: bool = False,
     ) -> ServiceResponse:
         """Calls a plain service and reads the complete response.
@@ -162,18 +162,20 @@
                 `x-request-id`.
             body: Request body.
             timeout_s: Timeout for the complete response in seconds.
-            may_send: Called right before the first byte is written.
+            check_send: Called right before the first byte is written.
             own_connection: Whether to use a new connection, not a pooled one.
 
         Raises:
             EndpointError: No complete response to this request was received.
-            SendRefusedError: `may_send` returned a reason to refuse.
+            SendRefusedError: `check_send` returned a reason to refuse.
         """
         exchange = self._exchange(method, endpoint.url + path, headers, body)
         exchange.request.extensions["own_connection"] = own_connection
         try:
             with anyio.fail_after(timeout_s):
-                async with send(self._transport, exchange, may_send, timeout_s):
+                async with send(
+                    self._transport, exchange, check_send, timeout_s
+                ):
                     return await self._read_response(exchange)
         except TimeoutError as exc:
             raise exchange.create_error(
--- a/knapweedarch/exchanges.py
+++ b/knapweedarch/exchanges.py
@@ -14,7 +14,7 @@
 from knapweedarch.models import RefusalReason, RetryReason
 from knapweedarch.transports import EndpointTransport
 
-MaySend = Callable[[], RefusalReason | None]
+CheckSend = Callable[[], RefusalReason | None]
 
 
 class SendRefusedError(EndpointError):
@@ -61,7 +61,7 @@
 async def send(
     transport: EndpointTransport,
     exchange: Exchange,
-    may_send: MaySend,
+    check_send: CheckSend,
     timeout_s: float,
 ) -> AsyncIterator[None]:
     """Sends a request; releases or closes its connection on exit.
@@ -69,16 +69,16 @@
     Args:
         transport: Transport to send it with.
         exchange: The exchange; its response is set, without the body.
-        may_send: Called right before the first byte is written.
+        check_send: Called right before the first byte is written.
         timeout_s: Timeout for the response headers in seconds.
 
     Raises:
         EndpointError: No response was received.
-        SendRefusedError: `may_send` returned a reason to refuse.
+        SendRefusedError: `check_send` returned a reason to refuse.
     """
 
     def before_send() -> None:
-        if refusal := may_send():
+        if refusal := check_send():
             raise SendRefusedError(refusal)
         exchange.written = True
 
--- a/knapweedarch/http_outbound.py
+++ b/knapweedarch/http_outbound.py
@@ -95,11 +95,11 @@
         self._send_scope = anyio.CancelScope()
         self._complete = False
 
-    async def open(self, may_send: Callable[[], None]) -> None:
+    async def open(self, before_send: Callable[[], None]) -> None:
         """Opens or reuses a connection.
 
         Args:
-            may_send: Called before the first byte is written; an exception
+            before_send: Called before the first byte is written; an exception
                 prevents the send.
 
         Raises:
@@ -111,9 +111,9 @@
             raise ExchangeError(
                 RetryReason.CONNECT_REFUSED, repr(exc), written=False
             ) from exc
-        may_send()
+        before_send()
 
-    async def answer(self) -> AnswerHead:
+    async def send_request(self) -> AnswerHead:
         """Sends the request and reads the status and headers of its answer.
 
         Raises:
@@ -285,16 +285,17 @@
         self._group.start_soon(task)
 
     def exchange(
-        self, address: str, req: Request, is_own: IsOwnAnswer
+        self, address: str, req: Request, is_own_answer: IsOwnAnswer
     ) -> Exchange:
         """Creates an exchange.
 
         Args:
             address: IP address and port of the endpoint.
             req: The request, with the headers for the endpoint.
-            is_own: Tells from the headers whether an answer belongs to `req`.
+            is_own_answer: Tells from the headers whether an answer belongs to
+                `req`.
         """
-        return Exchange(self, address, req, is_own)
+        return Exchange(self, address, req, is_own_answer)
 
     async def acquire(self, address: str) -> _Connection:
         """Returns an idle connection that is still open, or a new one.
--- a/knapweedarch/http_server.py
+++ b/knapweedarch/http_server.py
@@ -73,16 +73,16 @@
         async with anyio.create_task_group() as group:
             group.start_soon(self._await_signal, stop)
             await serve(
-                self._count_requests(app),
+                self._wrap_app(app),
                 self._config(),
                 shutdown_trigger=stop.wait,
             )
             group.cancel_scope.cancel()
 
-    def _count_requests(self, app):
+    def _wrap_app(self, app):
         """Wraps the application to count active requests for the drain."""
 
-        async def counted(scope, receive, send) -> None:
+        async def wrapped_app(scope, receive, send) -> None:
             if scope["type"] != "http":
                 return await app(scope, receive, send)
             if scope["path"] == COUNTERS_PATH:
@@ -97,7 +97,7 @@
                 if self.active == 0:
                     self._no_active_requests.set()
 
-        return counted
+        return wrapped_app
 
     def _is_full(self, path: str) -> bool:
         """Tells whether a request exceeds the limit of active requests.
--- a/knapweedarch/proxy_streams.py
+++ b/knapweedarch/proxy_streams.py
@@ -124,7 +124,7 @@
     async def _read_head(self, exchange: Exchange) -> AnswerHead:
         limit_s = self._silence_limit_s()
         with anyio.move_on_after(limit_s):
-            return await exchange.answer()
+            return await exchange.send_request()
         raise ExchangeError(
             RetryReason.FIRST_TOKEN_TIMEOUT,
             f"no response headers within {limit_s} s",
--- a/knapweedarch/proxy_unary.py
+++ b/knapweedarch/proxy_unary.py
@@ -89,7 +89,7 @@
 ) -> Answer | Failure:
     started_at = attempts.clock.now()
     scope.exchange = await attempts.open(call, endpoint)
-    head = await scope.exchange.answer()
+    head = await scope.exchange.send_request()
     answer = await read_full_answer(scope.exchange, head)
     scope.head = head
     if attempts.dialect.was_not_run(head):
--- a/knapweedarch/transports.py
+++ b/knapweedarch/transports.py
@@ -67,7 +67,7 @@
 
     def __init__(self):
         self._pools: OrderedDict[str, httpx.AsyncHTTPTransport] = OrderedDict()
-        self._unpooled = _create_pool(keep_alive=0)
+        self._unpooled = _create_pool(max_idle_connections=0)
 
     async def handle_async_request(
         self, request: httpx.Request
@@ -122,10 +122,10 @@
         self._pools.clear()
 
 
-def _create_pool(keep_alive: int) -> httpx.AsyncHTTPTransport:
+def _create_pool(max_idle_connections: int) -> httpx.AsyncHTTPTransport:
     limits = httpx.Limits(
         max_connections=MAX_CONNECTIONS,
-        max_keepalive_connections=keep_alive,
+        max_keepalive_connections=max_idle_connections,
         keepalive_expiry=KEEP_ALIVE_EXPIRY_S,
     )
     return httpx.AsyncHTTPTransport(
--- a/standins/fake_router.py
+++ b/standins/fake_router.py
@@ -61,7 +61,7 @@
 
     Attributes:
         refusal: Reason that `start_refusal` returns, or None.
-        refuse_after_checks: Calls of `start_refusal` that return `refusal`
+        checks_before_refusal: Calls of `start_refusal` that return `refusal`
             before all later ones return `refusal_after_checks`; a negative
             number means that all return `refusal`.
         refusal_after_checks: Reason that `start_refusal` returns after these
@@ -93,7 +93,7 @@
         self.counts: Counter[str] = Counter()
         self.timings: dict[str, list[float]] = {}
         self.refusal: RefusalReason | None = None
-        self.refuse_after_checks = -1
+        self.checks_before_refusal = -1
         self.refusal_after_checks = RefusalReason.LEASE_EXPIRED
         self.retries_left = 3
         self.lease_lapses = 0
@@ -112,9 +112,9 @@
 
     def start_refusal(self) -> RefusalReason | None:
         """Returns the configured reason, at once or after some calls."""
-        if self.refuse_after_checks == 0:
+        if self.checks_before_refusal == 0:
             return self.refusal_after_checks
-        self.refuse_after_checks -= 1
+        self.checks_before_refusal -= 1
         return self.refusal
 
     def lease_epoch(self) -> int:
--- a/standins/platform_runner.py
+++ b/standins/platform_runner.py
@@ -24,7 +24,7 @@
 LOAD_DURATION_S = 0.3
 EVENT_INTERVAL_S = 0.02
 SERVICE_DURATION_S = 0.02
-PROMPT_TOKENS_S = 100_000.0
+PROMPT_TOKENS_PER_S = 100_000.0
 HEADER_PREFIX = "X-Knapweedarch-"
 JSON_TYPE = (b"content-type", b"application/json")
 
@@ -218,7 +218,7 @@
     ) -> None:
         run = Run(
             *(request_id, _header(req, HEADER_PREFIX + "Tenant"), self.weights),
-            computed_tokens=self._compute_prompt(req),
+            computed_tokens=self._cache_prompt(req),
         )
         self.runs.append(run)
         headers = (
@@ -233,11 +233,11 @@
             body = json.dumps({"request": request_id}).encode()
             await responder.send(Answer(status=200, headers=headers, body=body))
         else:
-            await anyio.sleep(run.computed_tokens / PROMPT_TOKENS_S)
+            await anyio.sleep(run.computed_tokens / PROMPT_TOKENS_PER_S)
             await self._stream(req, headers, responder)
         run.done = True
 
-    def _compute_prompt(self, req: Request) -> int:
+    def _cache_prompt(self, req: Request) -> int:
         """Caches the parts of a prompt; returns the tokens to compute."""
         salt, computed, cached = (
             _header(req, HEADER_PREFIX + "Cache-Salt"),
@@ -258,10 +258,10 @@
         self, req: Request, headers, responder: Responder
     ) -> None:
         counts = _header(req, HEADER_PREFIX + "Token-Count", "0,0").split(",")
-        first = int(_header(req, "Last-Event-Id", "0"))
-        kind = (b"content-type", b"text/event-stream")
-        await responder.start(200, (*headers, kind))
-        for number in range(first + 1, int(counts[1]) + 1):
+        last_event_id = int(_header(req, "Last-Event-Id", "0"))
+        content_type = (b"content-type", b"text/event-stream")
+        await responder.start(200, (*headers, content_type))
+        for number in range(last_event_id + 1, int(counts[1]) + 1):
             await anyio.sleep(EVENT_INTERVAL_S)
             event = f"id: {number}\ndata: token {number}\n\n"
             await responder.write(event.encode())
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -162,14 +162,14 @@
                 url = self.routers[self._next_router % len(self.routers)]
                 self._next_router += 1
                 try:
-                    reply = await client.post(
+                    response = await client.post(
                         f"{url}/v1/endpoints",
                         json=self.describe(),
                         headers={"authorization": f"Bearer {self.credential}"},
                     )
                 except httpx.HTTPError:
                     continue
-                if reply.status_code == 200:
+                if response.status_code == 200:
                     return True
         return False
 
