--- a/features/raw_server.py
+++ b/features/raw_server.py
@@ -28,7 +28,7 @@
         mode: One of the modes.
         connections: Number of connections accepted.
         requests: Number of requests read on all connections.
-        closed: Number of connections that have ended.
+        closed: Number of connections that either side has closed.
         changed: Set and replaced whenever one of the counts changes.
     """
 
@@ -127,6 +127,6 @@
 
 
 def raw_endpoint(url: str, kind: EndpointKind) -> Endpoint:
-    """Creates the endpoint of a raw server."""
+    """Creates the endpoint of a raw server that serves `guide` or `booking`."""
     serves = ("guide",) if kind is EndpointKind.RUNNER else ("booking",)
     return Endpoint("raw", "raw", url, kind, serves, "w1")
--- a/knapweedarch/adapters.py
+++ b/knapweedarch/adapters.py
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class LoadWeights:
-    """Order to load a version of a model."""
+    """Order to load a version of a model's weights."""
 
     model: str
     version: str
@@ -114,10 +114,12 @@
             request_id: Request id that the response must carry.
             attempt_id: Attempt id that the response must carry.
             check_send: Called right before the first byte is written.
-            first_event_s: Timeout for the first event in seconds.
+            first_event_s: Timeout for the first event in seconds, counted from
+                this call.
 
         Raises:
-            EndpointError: The runner did not accept the request.
+            EndpointError: The runner did not respond with a stream for this
+                attempt.
             SendRefusedError: `check_send` returned a reason to refuse.
         """
         ticket, endpoint = attempt.ticket, attempt.endpoint
@@ -158,8 +160,8 @@
             endpoint: The service.
             method: HTTP method.
             path: Path with query, already percent-encoded.
-            headers: Request headers; the response must repeat the value of
-                `x-request-id`.
+            headers: Request headers; if they include `x-request-id`, the
+                response must repeat its value.
             body: Request body.
             timeout_s: Timeout for the complete response in seconds.
             check_send: Called right before the first byte is written.
@@ -184,14 +186,15 @@
             ) from exc
 
     async def follow_feed(self, endpoint: Endpoint) -> AsyncIterator[FeedItem]:
-        """Yields load reports and cache events until the feed ends.
+        """Yields load reports, cache snapshots and events until the feed ends.
 
         The first cache item is a snapshot. If event numbers are missing, the
         event after the gap is still yielded before the feed fails; a new feed
         starts with a snapshot.
 
         Raises:
-            EndpointError: The feed failed, timed out or has a gap.
+            EndpointError: The feed failed, timed out, is malformed or has a
+                gap.
         """
         headers = {"x-router": self._incarnation}
         exchange = self._exchange("GET", endpoint.url + "/feed", headers, b"")
@@ -387,7 +390,7 @@
     Args:
         credential: The shared endpoint credential.
         clock: The router's clock.
-        incarnation: Incarnation of the router, with which runners state which
-            of its attempts a load report includes.
+        incarnation: Incarnation of the router. Runners need it to report the
+            number of the router's last attempt that a load report includes.
     """
     return Adapter(credential, clock, incarnation)
--- a/knapweedarch/exchanges.py
+++ b/knapweedarch/exchanges.py
@@ -14,6 +14,7 @@
 from knapweedarch.models import RefusalReason, RetryReason
 from knapweedarch.transports import EndpointTransport
 
+# Returns the reason not to send, or None if the request may be sent.
 CheckSend = Callable[[], RefusalReason | None]
 
 
@@ -67,8 +68,8 @@
     """Sends a request; releases or closes its connection on exit.
 
     Args:
-        transport: Transport to send it with.
-        exchange: The exchange; its response is set, without the body.
+        transport: The transport.
+        exchange: The exchange; its response is set, its body not yet read.
         check_send: Called right before the first byte is written.
         timeout_s: Timeout for the response headers in seconds.
 
@@ -104,7 +105,7 @@
 
 
 def has_framing(response: httpx.Response) -> bool:
-    """Tells whether a truncated body can be detected."""
+    """Returns whether a truncated body can be detected."""
     return (
         response.status_code in (204, 304)
         or "content-length" in response.headers
@@ -113,7 +114,11 @@
 
 
 async def read_body(exchange: Exchange, max_bytes: int) -> bytes | None:
-    """Reads the complete body; returns None if it exceeds the limit."""
+    """Reads the complete body; returns None if it exceeds the limit.
+
+    Raises:
+        httpx.HTTPError: The response ended early.
+    """
     body = bytearray()
     async for chunk in exchange.response.stream:
         body += chunk
--- a/knapweedarch/http_inbound.py
+++ b/knapweedarch/http_inbound.py
@@ -1,10 +1,10 @@
 """HTTP/1.1 server of the proxy, on h11.
 
 Hypercorn, the web server of the router's interface, does not expose when a
-caller's connection ends, how much of a request was read, and when a connection
+caller's connection ends, how much of a request was read, or when a connection
 can be closed without losing a request. The proxy needs all three to distinguish
-"not read" from "run", so this module uses h11, hypercorn's HTTP/1.1 library,
-directly.
+a request that was not read from one that may have run, so this module uses h11,
+hypercorn's HTTP/1.1 library, directly.
 """
 
 import contextlib
@@ -88,7 +88,11 @@
         await self._conn.write(h11.EndOfMessage())
 
     def abort(self) -> None:
-        """Closes the connection, so that a partial response is detectable."""
+        """Stops the response, so that the caller detects that it is partial.
+
+        Later writes raise `CallerGoneError`. The connection is closed when the
+        handler returns.
+        """
         self._conn.abort()
 
 
@@ -139,7 +143,7 @@
         finally:
             self._server.record_request_end(self)
         # A response that was started before the shutdown lacks the header
-        # `connection: close`.
+        # `connection: close`, so h11 would keep the connection open.
         if self._aborted or self._server.refusing:
             return False
         return self._h11.our_state is h11.DONE
@@ -150,6 +154,8 @@
         Raises:
             TimeoutError: The request did not arrive within the time limits.
             h11.RemoteProtocolError: The request is malformed or too large.
+            CallerGoneError: The caller closed the connection before
+                `100 Continue` was sent.
         """
         limits = self._server.limits()
         head = self._h11.next_event()
@@ -192,6 +198,10 @@
             self._server.mark_busy(self)
 
     async def _read_body(self, limits: CallerLimits) -> bytes | None:
+        """Reads the body; returns None if the connection ends first.
+
+        The complete body must arrive within `idle_s`.
+        """
         body = bytearray()
         with anyio.fail_after(limits.idle_s):
             while True:
@@ -244,7 +254,8 @@
     async def _watch_for_disconnect(self, scope: anyio.CancelScope) -> None:
         """Keeps reading, the only way to detect a disconnect.
 
-        At most one buffer of a pipelined request is read.
+        Once `READ_BYTES` of further requests are buffered, reading stops and a
+        disconnect is no longer detected.
         """
         while len(self._h11.trailing_data[0]) < READ_BYTES:
             if not await self._receive():
@@ -256,7 +267,11 @@
     async def write_head(
         self, status: int, headers: Headers, first: bytes
     ) -> None:
-        """Sends the response headers and the first bytes of the body."""
+        """Sends the response headers and the first bytes of the body.
+
+        Raises:
+            CallerGoneError: The connection is closed.
+        """
         if self._server.closing:
             headers = (*headers, (b"connection", b"close"))
         response = h11.Response(status_code=status, headers=list(headers))
@@ -266,7 +281,11 @@
         await self._send(data)
 
     async def write(self, event: h11.Event) -> None:
-        """Sends an h11 event of the response."""
+        """Sends an h11 event of the response.
+
+        Raises:
+            CallerGoneError: The connection is closed.
+        """
         await self._send(self._h11.send(event))
 
     async def _send(self, data: bytes | None) -> None:
@@ -281,7 +300,7 @@
             raise CallerGoneError("the caller closed the connection") from exc
 
     def abort(self) -> None:
-        """Ends the connection without a complete response."""
+        """Makes writes fail; closes the connection when the handler returns."""
         self._aborted = True
 
     async def _send_error(self, status: int, reason: str) -> None:
@@ -308,8 +327,8 @@
     """Rejects a request whose length is ambiguous.
 
     Raises:
-        h11.RemoteProtocolError: There are both a length and a transfer
-            encoding.
+        h11.RemoteProtocolError: Both a content length and a transfer encoding
+            are given.
     """
     names = {name.lower() for name, _ in headers}
     if {b"content-length", b"transfer-encoding"} <= names:
@@ -340,11 +359,12 @@
 
     Attributes:
         clock: Time source.
-        handler: Handles each request.
+        handler: Sends the response to each request; cancelled if the caller
+            disconnects.
         limits: Returns the current limits for callers.
         closing: Whether responses have the header `connection: close`.
         refusing: Whether connections end after the active request.
-        active: Number of active requests.
+        active: Number of requests that were read and whose handler runs.
     """
 
     def __init__(
@@ -366,7 +386,14 @@
     async def serve(
         self, host: str, port: int, *, task_status=anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Accepts and serves connections until cancelled."""
+        """Accepts and serves connections until cancelled.
+
+        Reports the port that it listens on to `task_status`. After
+        `stop_accepting`, it returns when the last connection has ended.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port, backlog=1024
         )
@@ -391,7 +418,7 @@
         self.active += 1
 
     def record_request_end(self, conn: InboundConnection) -> None:
-        """Records that a request was answered or cancelled."""
+        """Records that the handler of a request returned or was cancelled."""
         self.active -= 1
         if not self.active:
             self._no_active_requests.set()
--- a/knapweedarch/http_messages.py
+++ b/knapweedarch/http_messages.py
@@ -4,8 +4,9 @@
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# Hop-by-hop headers (RFC 9110, section 7.6.1) and those that frame the body,
-# which are set anew for each connection.
+# Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1),
+# those that frame the body, which are set anew for each connection, and
+# `Expect`, which the server answers itself.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         *(b"connection", b"keep-alive", b"proxy-connection", b"te"),
@@ -16,7 +17,12 @@
 
 
 def find_header(headers: Headers, name: bytes) -> bytes:
-    """Returns the first header with a lower-case name, or an empty value."""
+    """Returns the value of the first header called `name`; empty if missing.
+
+    Args:
+        headers: Headers with names in any case.
+        name: Name in lower case.
+    """
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -24,7 +30,7 @@
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Removes the hop-by-hop headers."""
+    """Removes hop-by-hop headers, also those that `Connection` lists."""
     connection_options = find_header(headers, b"connection").lower().split(b",")
     hop_by_hop = HOP_BY_HOP_HEADERS.union(
         name.strip() for name in connection_options
@@ -52,7 +58,11 @@
     began_at: float = 0.0
 
     def header(self, name: bytes) -> bytes:
-        """Returns the first header with a lower-case name, or empty."""
+        """Returns the first header called `name`; empty if missing.
+
+        Args:
+            name: Name in lower case.
+        """
         return find_header(self.headers, name)
 
     @property
@@ -81,5 +91,9 @@
     body: bytes = b""
 
     def header(self, name: bytes) -> bytes:
-        """Returns the first header with a lower-case name, or empty."""
+        """Returns the first header called `name`; empty if missing.
+
+        Args:
+            name: Name in lower case.
+        """
         return find_header(self.headers, name)
--- a/knapweedarch/http_outbound.py
+++ b/knapweedarch/http_outbound.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client of the proxy, on h11, with one pool per endpoint.
+"""HTTP/1.1 client of the proxy, on h11, with idle connections by address.
 
 An endpoint may answer twice, late, early, without a length or with bytes that
 are not HTTP. Each exchange therefore checks which request an answer belongs to,
@@ -24,12 +24,12 @@
 CONNECT_TIMEOUT_S = 0.35
 # Assumed idle timeout of endpoints that send no keep-alive timeout.
 DEFAULT_IDLE_S = 3.0
-# Subtracted from the endpoint's idle timeout, since a request may cross the
-# close of the connection.
+# Subtracted from the endpoint's idle timeout, since the endpoint may close the
+# connection while a request is on its way.
 IDLE_MARGIN_S = 0.6
 MAX_IDLE_PER_ADDRESS = 16
 MAX_MISMATCHED_ANSWERS = 4
-# Longer bodies are sent by a background task.
+# Longer bodies are sent by a background task while the answer is read.
 MAX_INLINE_BODY_BYTES = 8_192
 STREAM_ERRORS = (
     OSError,
@@ -42,12 +42,14 @@
 
 @attrs.define(eq=False)
 class _Connection:
+    """A connection; `idle_until` is in seconds on the pool's clock."""
+
     stream: anyio.abc.SocketStream
     protocol: h11.Connection
     idle_until: float = 0.0
 
     def has_no_input(self) -> bool:
-        """Tells whether neither bytes nor an end of stream arrived."""
+        """Returns whether neither bytes nor an end of stream has arrived."""
         sock = self.stream.extra(anyio.abc.SocketAttribute.raw_socket)
         poll = select.poll()
         poll.register(sock.fileno(), select.POLLIN)
@@ -67,7 +69,11 @@
     headers: Headers
 
     def header(self, name: bytes) -> bytes:
-        """Returns the first header with a lower-case name, or empty."""
+        """Returns the first header called `name`; empty if missing.
+
+        Args:
+            name: Name in lower case.
+        """
         return find_header(self.headers, name)
 
 
@@ -99,11 +105,12 @@
         """Opens or reuses a connection.
 
         Args:
-            before_send: Called before the first byte is written; an exception
-                prevents the send.
+            before_send: Called once the connection is open, before the first
+                byte is written; it raises an error to prevent the send.
 
         Raises:
             ExchangeError: The connection failed; nothing was written.
+            Exception: The error of `before_send`; nothing was written.
         """
         try:
             self._conn = await self._pool.acquire(self._address)
@@ -117,10 +124,10 @@
         """Sends the request and reads the status and headers of its answer.
 
         Raises:
-            ExchangeError: No answer to this request was received.
+            ExchangeError: No valid answer to this request was received.
         """
         # The endpoint may answer before it has read a long body, so the answer
-        # is read meanwhile.
+        # is read while the body is sent.
         if len(self._req.body) > MAX_INLINE_BODY_BYTES:
             self._pool.spawn(self._send_in_background)
         else:
@@ -199,7 +206,7 @@
         """Reads a part of the body; returns None at the end.
 
         Raises:
-            ExchangeError: The answer ended early.
+            ExchangeError: The answer ended early or is not valid HTTP.
         """
         if self._complete:
             return None
@@ -281,7 +288,7 @@
         self._idle: dict[str, list[_Connection]] = {}
 
     def spawn(self, task: Callable[[], Awaitable[None]]) -> None:
-        """Runs a background task."""
+        """Starts a task, which is cancelled when the pool's context exits."""
         self._group.start_soon(task)
 
     def exchange(
@@ -292,8 +299,8 @@
         Args:
             address: IP address and port of the endpoint.
             req: The request, with the headers for the endpoint.
-            is_own_answer: Tells from the headers whether an answer belongs to
-                `req`.
+            is_own_answer: Returns whether an answer with these headers belongs
+                to `req`.
         """
         return Exchange(self, address, req, is_own_answer)
 
--- a/knapweedarch/http_server.py
+++ b/knapweedarch/http_server.py
@@ -21,6 +21,7 @@
 CHAT_PATHS = "/v1/chat/"
 # Time for the load balancer to notice that this router is no longer ready.
 READY_GRACE_S = 1.0
+# Time that connections may stay open after the drain.
 SHUTDOWN_TIMEOUT_S = 1.0
 MAX_HEADER_BYTES = 32 * 1024
 BACKLOG = 1024
@@ -29,6 +30,9 @@
 class HttpServer:
     """Serves one application until SIGTERM or SIGINT.
 
+    Its socket is bound on creation, which raises `OSError` if the address is in
+    use.
+
     Attributes:
         port: Port that the server listens on.
         active: Number of active requests.
@@ -80,7 +84,11 @@
             group.cancel_scope.cancel()
 
     def _wrap_app(self, app):
-        """Wraps the application to count active requests for the drain."""
+        """Wraps the application.
+
+        Counts active requests for the drain, refuses requests above the limit
+        and serves the counters.
+        """
 
         async def wrapped_app(scope, receive, send) -> None:
             if scope["type"] != "http":
@@ -100,7 +108,7 @@
         return wrapped_app
 
     def _is_full(self, path: str) -> bool:
-        """Tells whether a request exceeds the limit of active requests.
+        """Returns whether a request exceeds the limit of active requests.
 
         Only chat requests are refused as not run. A retried service call may
         have run before, and leaving endpoints and the load balancer must
@@ -120,7 +128,7 @@
         )
 
     async def _send_counters(self, scope, send) -> None:
-        """Sends the counters to an operator with the shared credential."""
+        """Sends the counters if the request has the shared credential."""
         expected = f"Bearer {self._settings.credential}".encode()
         given = dict(scope["headers"]).get(b"authorization", b"")
         status, content = 200, dict(sorted(self._metrics.counts.items()))
@@ -147,7 +155,10 @@
             stop.set()
 
     async def _drain(self) -> None:
-        """Reports not ready, then refuses new work, then awaits active work."""
+        """Reports not ready, then refuses new work, then awaits active work.
+
+        Active requests are awaited for at most `drain_s` seconds.
+        """
         log("drain_started", active=self.active)
         self.draining = True
         await anyio.sleep(READY_GRACE_S)
--- a/knapweedarch/transports.py
+++ b/knapweedarch/transports.py
@@ -18,8 +18,10 @@
 # Shorter than the 5 s after which hypercorn and most servers close idle
 # connections.
 KEEP_ALIVE_EXPIRY_S = 2.0
+# Per pool.
 MAX_CONNECTIONS = 512
 MAX_POOLS = 1024
+# Trace event of httpcore before it writes the request headers.
 SEND_STARTED = "http11.send_request_headers.started"
 
 # Endpoints have plain HTTP URLs. A context without certificates rejects HTTPS
@@ -50,7 +52,7 @@
             raise
 
     async def aclose(self) -> None:
-        """Returns the connection to the pool, or closes it."""
+        """Returns the connection to the pool, or closes it if incomplete."""
         with anyio.CancelScope(shield=True):
             if not self.complete:
                 await self._response.extensions["network_stream"].aclose()
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -28,7 +28,14 @@
 
 @attrs.define
 class Process:
-    """A running process of a deployment."""
+    """A running process of a deployment.
+
+    Attributes:
+        name: Name of the member, router or endpoint.
+        popen: The process.
+        port: Port that it reported as ready.
+        command: Arguments of the Python interpreter.
+    """
 
     name: str
     popen: subprocess.Popen
@@ -37,7 +44,15 @@
 
 
 class Deployment:
-    """Processes of one deployment; a context manager that kills them."""
+    """Processes of one deployment; a context manager that kills them.
+
+    Attributes:
+        folder: Folder of settings, logs and members' data; not removed at exit.
+        host: Loopback address of the members and routers.
+        processes: Running processes by name.
+        metrics_ports: Ports of the metrics pages by process name.
+        members: Name, host and port of each member.
+    """
 
     def __init__(self, members: int = 3):
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="knapweedarch-"))
@@ -81,7 +96,11 @@
         return process
 
     def _await_port(self, popen, path: pathlib.Path, log_offset: int) -> int:
-        """Returns the port from the `ready` line that the process logs."""
+        """Returns the port from the `ready` line that the process logs.
+
+        Raises:
+            RuntimeError: The process ended or was not ready in time.
+        """
         deadline = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline and popen.poll() is None:
             lines = path.read_bytes()[log_offset:].decode().splitlines()
@@ -206,7 +225,11 @@
         process.popen.wait()
 
     def stop(self, name: str) -> int:
-        """Stops a process gracefully and returns its exit code."""
+        """Stops a process gracefully and returns its exit code.
+
+        Raises:
+            subprocess.TimeoutExpired: It did not exit within `STOP_TIMEOUT_S`.
+        """
         process = self.processes[name]
         process.popen.send_signal(signal.SIGTERM)
         # Stays in `processes` until it exits, because it still serves requests
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -19,8 +19,8 @@
     """LRU cache of prefix blocks, separated by salt and weights version.
 
     Attributes:
-        capacity: Most blocks that it holds.
-        on_event: Called with the kind and the blocks of each cache event.
+        capacity: Largest number of blocks that it holds.
+        on_event: Called with the kind and the block hashes of each cache event.
     """
 
     capacity: int
@@ -114,11 +114,12 @@
 class Feed:
     """Feed of numbered cache events with a queue for each follower.
 
-    The first number is 1, so that a snapshot can be sent as a `cleared` event
-    with the number before the last one and a `stored` event with the last.
+    Before the first event the number is 1, so that even the first snapshot
+    could be replaced by a `cleared` event with the number before it and a
+    `stored` event with its own number.
 
     Attributes:
-        number: Number of the last event.
+        number: Number of the last event, also used for snapshots.
     """
 
     number: int = 1
@@ -145,7 +146,7 @@
         self._followers = [q for q in self._followers if q is not queue]
 
     async def wait(self, limit_s: float) -> None:
-        """Waits until an event is published, at most `limit_s` seconds."""
+        """Waits for the next event, at most `limit_s` seconds."""
         self._changed = (
             anyio.Event() if self._changed.is_set() else (self._changed)
         )
--- a/standins/fake_router.py
+++ b/standins/fake_router.py
@@ -61,9 +61,9 @@
 
     Attributes:
         refusal: Reason that `start_refusal` returns, or None.
-        checks_before_refusal: Calls of `start_refusal` that return `refusal`
-            before all later ones return `refusal_after_checks`; a negative
-            number means that all return `refusal`.
+        checks_before_refusal: Number of further calls of `start_refusal` that
+            return `refusal`; later ones return `refusal_after_checks`. If
+            negative, every call returns `refusal`.
         refusal_after_checks: Reason that `start_refusal` returns after these
             calls.
         lease_lapses: Number of lapses of the lease so far.
@@ -123,7 +123,10 @@
         return self.lease_lapses
 
     async def place(self, ticket: Ticket) -> Dispatch | Refuse:
-        """Chooses the first runner with the weights version of the ticket."""
+        """Chooses the first runner with the weights version of the ticket.
+
+        Any runner matches a ticket without a version.
+        """
         return self._choose(ticket, self.runners)
 
     async def place_retry(
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -9,7 +9,8 @@
 
     Attributes:
         mode: Kind of the fault; see `runner` and `desk`.
-        at: Token offset for streams, seconds for `delay`, bytes for `big`.
+        at: Token of the attempt, counted from 0, for streams; seconds for
+            `delay`; bytes for `big`.
         times: Number of requests that it affects; negative means all.
     """
 
@@ -29,7 +30,11 @@
 
 @attrs.define
 class Faults:
-    """Faults still to be injected, in order."""
+    """Faults still to be injected, in order.
+
+    Attributes:
+        pending: The faults; the first one applies to the next request.
+    """
 
     pending: list[Fault] = attrs.field(factory=list)
 
--- a/standins/platform_runner.py
+++ b/standins/platform_runner.py
@@ -1,4 +1,4 @@
-"""Minimal runner of the users' platform, for tests without their bench.
+"""Minimal runner of the users' platform, for tests without its test bench.
 
 Runs a limited number of requests at once, caches prompt parts, publishes cache
 events, loads weights on order and sends heartbeats. Plain services are runners
@@ -31,7 +31,15 @@
 
 @attrs.define
 class Run:
-    """A request that the runner started."""
+    """A request that the runner started.
+
+    Attributes:
+        request_id: Id of the request.
+        customer: Name of the customer.
+        weights: Version of the weights at the start.
+        computed_tokens: Number of prompt tokens that were not cached.
+        done: Whether the complete response was sent.
+    """
 
     request_id: str
     customer: str
@@ -51,12 +59,12 @@
         service: Service that it belongs to.
         model: Model that it serves; empty for a plain service.
         control_addresses: Returns the addresses to send heartbeats to.
-        concurrency: Requests that run at once.
+        concurrency: Largest number of requests that run at once.
         weights: Version of its weights.
         port: Port that it listens on, once it is started.
         runs: Started requests, in order.
         leaving: Whether its heartbeats report that it is draining.
-        leave_confirmed: Set when a member confirmed that heartbeat.
+        leave_confirmed: Set once a member has confirmed such a heartbeat.
         order_count: Number of accepted orders.
     """
 
@@ -81,7 +89,7 @@
     _changed: anyio.Event = attrs.field(factory=anyio.Event)
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
-        """Serves until cancelled."""
+        """Serves requests and sends heartbeats until cancelled."""
         self._limiter = anyio.CapacityLimiter(self.concurrency)
         server = InboundServer(self._handle, Clock())
         async with (
@@ -238,7 +246,10 @@
         run.done = True
 
     def _cache_prompt(self, req: Request) -> int:
-        """Caches the parts of a prompt; returns the tokens to compute."""
+        """Caches the parts of a prompt; returns the number of uncached tokens.
+
+        Every part after the first uncached one counts as uncached.
+        """
         salt, computed, cached = (
             _header(req, HEADER_PREFIX + "Cache-Salt"),
             0,
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -1,4 +1,4 @@
-"""Simulates a site of the users' platform on loopback, without their bench.
+"""Simulates a site of the users' platform on loopback, without its test bench.
 
 Starts the actual member and proxy processes with the platform's settings files
 and runs the runners, the operator and the callers in the test's event loop.
@@ -108,7 +108,15 @@
 
 
 class PlatformSite:
-    """Runs processes and runners, and acts as operator and callers."""
+    """Runs processes and runners, and acts as operator and callers.
+
+    Attributes:
+        folder: Folder of settings, logs and data; removed by `close`.
+        processes: Members and proxies by name.
+        runners: Runners and plain services.
+        client: HTTP client of the operator and the callers.
+        answer: Last response to `call_control`.
+    """
 
     def __init__(self, group: anyio.abc.TaskGroup):
         self._group = group
@@ -241,7 +249,16 @@
         await self._group.start(runner.run)
 
     async def call_control(self, method: str, path: str, document=None) -> int:
-        """Sends an operator's request to random members until one responds."""
+        """Sends an operator's request to random members until one responds.
+
+        Responses with a status of 500 or more are retried.
+
+        Returns:
+            The status code; the response is kept in `answer`.
+
+        Raises:
+            TimeoutError: No member responded within `START_TIMEOUT_S`.
+        """
         deadline = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline:
             address = random.choice(self.control_addresses())
@@ -289,7 +306,13 @@
     async def send_request(
         self, proxy: str, path: str, tokens: int = 0
     ) -> httpx.Response:
-        """Sends a caller's request; returns the complete response."""
+        """Sends a caller's request; returns the complete response.
+
+        Args:
+            proxy: Name of the proxy.
+            path: Path of the request.
+            tokens: Number of tokens to generate; 0 for a plain service.
+        """
         self._requests += 1
         headers = {
             "Host": HOST,
@@ -320,7 +343,11 @@
 async def open_site(
     members: int, proxies: int, runners: int, limit_s: float
 ) -> AsyncIterator[PlatformSite]:
-    """Opens a site with a configuration applied and every proxy ready."""
+    """Opens a site with a configuration applied and every proxy ready.
+
+    Raises:
+        TimeoutError: The site was not closed within `limit_s` seconds.
+    """
     with anyio.fail_after(limit_s):
         async with anyio.create_task_group() as group:
             site = PlatformSite(group)
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -16,7 +16,11 @@
 
 
 class Relay:
-    """Forwards one TCP port to another; a context manager."""
+    """Forwards one TCP port to another; a context manager.
+
+    Attributes:
+        port: Port that it listens on.
+    """
 
     def __init__(self, host: str, target: tuple[str, int]):
         self._target = target
@@ -50,7 +54,10 @@
             return len(silenced) // 2
 
     def set_partitioned(self, partitioned: bool) -> None:
-        """Starts or ends a silent partition."""
+        """Starts or ends a partition.
+
+        Connections opened before it ends stay silent.
+        """
         with self._lock:
             if partitioned:
                 self._silent |= self._open
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -1,6 +1,6 @@
 """Stand-in model runner; see docs/ENDPOINTS.md for its interface.
 
-Fault modes of a stream at the token offset `at`:
+Fault modes of a stream at its token `at`, counted from 0 in each attempt:
 - `break` closes the connection.
 - `silent` sends nothing more.
 - `gap` skips a token.
@@ -8,7 +8,7 @@
 - `crossed` sends a token with the id of another attempt.
 
 Fault modes of the whole request:
-- `no_done` ends the stream without the end mark.
+- `no_done` ends the stream without the event `[DONE]`.
 - `error` answers 500 before running.
 - `refuse` answers 409 before running.
 """
@@ -53,7 +53,19 @@
 
 @attrs.define
 class Job:
-    """A running attempt."""
+    """An attempt that waits for a slot or runs.
+
+    Attributes:
+        request_id: Id of the request.
+        attempt_id: Router's incarnation and number of the attempt, with a slash
+            between them.
+        salt: Cache salt, which separates the prompts of customers.
+        priority: Priority; lower values go first.
+        body: Parsed JSON body.
+        fault: Fault to inject, if any.
+        scope: Cancels the attempt.
+        resumes: Whether it continues an answer that another attempt started.
+    """
 
     request_id: str
     attempt_id: str
@@ -66,12 +78,26 @@
 
     @property
     def max_tokens(self) -> int:
-        """Number of tokens of the whole answer."""
+        """Length of the whole answer in tokens, including resumed ones."""
         return int(self.body.get("max_tokens") or DEFAULT_TOKENS)
 
 
 class Runner:
-    """ASGI application of a stand-in runner."""
+    """ASGI application of a stand-in runner.
+
+    Attributes:
+        cfg: Settings.
+        url: Base URL that it announces.
+        incarnation: Random identifier of this process.
+        version: Loaded version of the weights.
+        model: Loaded model.
+        status: Status that it announces.
+        role: Role set by the last order.
+        faults: Faults still to be injected.
+        counts: Counters by name, as `/stats` returns them.
+        attempts: Ids of the attempts by request id, for the last
+            `MAX_STATS_REQUESTS` requests.
+    """
 
     def __init__(self, cfg: RunnerConfig):
         self.cfg = cfg
@@ -146,7 +172,10 @@
                 await serving.answer(send, 404, {"error": "path"})
 
     def stats(self) -> dict[str, object]:
-        """Returns the incarnation, load, attempts by request and counts."""
+        """Returns the incarnation, load, attempts by request and counts.
+
+        `runs` counts started attempts; `running` includes those that wait.
+        """
         return {
             "incarnation": self.incarnation,
             "runs": self.counts["requests"],
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -36,7 +36,7 @@
 
 
 def base_url(listener: socket.socket) -> str:
-    """Returns the base URL of a listening socket."""
+    """Returns the base URL of a bound socket."""
     host, port = listener.getsockname()[:2]
     return f"http://{host}:{port}"
 
@@ -67,7 +67,7 @@
 
 
 async def read_body(receive: Receive) -> bytes:
-    """Reads the whole body of a request."""
+    """Reads the body of a request, up to a disconnect of the sender."""
     parts = []
     while True:
         message = await receive()
@@ -99,9 +99,9 @@
 
 
 async def send_incomplete_answer(send: Send, headers: Headers) -> None:
-    """Sends only the head of an answer; the server closes the connection.
+    """Sends only the headers of an answer; the server closes the connection.
 
-    The head is needed because hypercorn answers 500 to a request if the
+    The headers are needed because hypercorn answers 500 to a request if the
     application sends nothing.
     """
     fields = {"content-length": "100", **headers}
@@ -174,7 +174,10 @@
         return False
 
     async def run(self) -> None:
-        """Announces every `ANNOUNCE_INTERVAL_S` until cancelled."""
+        """Announces every `ANNOUNCE_INTERVAL_S` until cancelled.
+
+        Returns at once if there are no routers.
+        """
         while self.routers:
             await self.announce()
             await anyio.sleep(ANNOUNCE_INTERVAL_S)
@@ -192,8 +195,8 @@
     Args:
         app: ASGI application.
         listener: Socket to serve on.
-        announcer: Announces the endpoint.
-        leave: Changes the announcement to `leaving`.
+        announcer: Announces the endpoint, once more after `leave` was called.
+        leave: Changes the status in the announcement to `leaving`.
         end_feeds: Ends the feed streams, which otherwise never end.
     """
     stop = anyio.Event()
--- a/standins/texts.py
+++ b/standins/texts.py
@@ -15,7 +15,7 @@
 
 
 def prompt_digest(messages: object, version: str) -> int:
-    """Returns the digest of a prompt and a weights version."""
+    """Returns the 64-bit digest of a prompt and a weights version."""
     data = json.dumps([messages, version], sort_keys=True).encode()
     return xxhash.xxh3_64_intdigest(data)
 
