--- a/knapweedarch/adapters.py
+++ b/knapweedarch/adapters.py
@@ -18,8 +18,8 @@
 from knapweedarch.chat_streams import ChatStream
 from knapweedarch.exceptions import EndpointError
 from knapweedarch.exchanges import (
+    CheckSend,
     Exchange,
-    MaySend,
     has_framing,
     read_body,
     send,
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class LoadWeights:
-    """Order to load a version of a model."""
+    """Order to load a version of a model's weights."""
 
     model: str
     version: str
@@ -103,7 +103,7 @@
         body: bytes,
         request_id: str,
         attempt_id: str,
-        may_send: MaySend,
+        check_send: CheckSend,
         first_event_s: float,
     ) -> AsyncIterator[ChatStream]:
         """Sends a chat request to a runner and opens the response stream.
@@ -113,12 +113,14 @@
             body: JSON body for the runner.
             request_id: Request id that the response must carry.
             attempt_id: Attempt id that the response must carry.
-            may_send: Called right before the first byte is written.
-            first_event_s: Timeout for the first event in seconds.
+            check_send: Called right before the first byte is written.
+            first_event_s: Timeout for the first event in seconds, counted from
+                this call.
 
         Raises:
-            EndpointError: The runner did not accept the request.
-            SendRefusedError: `may_send` returned a reason to refuse.
+            EndpointError: The runner did not respond with a stream for this
+                attempt.
+            SendRefusedError: `check_send` returned a reason to refuse.
         """
         ticket, endpoint = attempt.ticket, attempt.endpoint
         headers = {
@@ -134,7 +136,7 @@
         exchange = self._exchange(
             "POST", endpoint.url + "/v1/chat/completions", headers, body
         )
-        async with send(self._transport, exchange, may_send, first_event_s):
+        async with send(self._transport, exchange, check_send, first_event_s):
             await self._check_chat_response(exchange, request_id, attempt_id)
             elapsed_s = self._clock.now() - started_at
             stream = ChatStream(exchange, max(0.0, first_event_s - elapsed_s))
@@ -149,7 +151,7 @@
         headers: Mapping[str, str],
         body: bytes,
         timeout_s: float,
-        may_send: MaySend,
+        check_send: CheckSend,
         own_connection: bool = False,
     ) -> ServiceResponse:
         """Calls a plain service and reads the complete response.
@@ -158,22 +160,24 @@
             endpoint: The service.
             method: HTTP method.
             path: Path with query, already percent-encoded.
-            headers: Request headers; the response must repeat the value of
-                `x-request-id`.
+            headers: Request headers; if they include `x-request-id`, the
+                response must repeat its value.
             body: Request body.
             timeout_s: Timeout for the complete response in seconds.
-            may_send: Called right before the first byte is written.
+            check_send: Called right before the first byte is written.
             own_connection: Whether to use a new connection, not a pooled one.
 
         Raises:
             EndpointError: No complete response to this request was received.
-            SendRefusedError: `may_send` returned a reason to refuse.
+            SendRefusedError: `check_send` returned a reason to refuse.
         """
         exchange = self._exchange(method, endpoint.url + path, headers, body)
         exchange.request.extensions["own_connection"] = own_connection
         try:
             with anyio.fail_after(timeout_s):
-                async with send(self._transport, exchange, may_send, timeout_s):
+                async with send(
+                    self._transport, exchange, check_send, timeout_s
+                ):
                     return await self._read_response(exchange)
         except TimeoutError as exc:
             raise exchange.create_error(
@@ -182,14 +186,15 @@
             ) from exc
 
     async def follow_feed(self, endpoint: Endpoint) -> AsyncIterator[FeedItem]:
-        """Yields load reports and cache events until the feed ends.
+        """Yields load reports, cache snapshots and events until the feed ends.
 
         The first cache item is a snapshot. If event numbers are missing, the
         event after the gap is still yielded before the feed fails; a new feed
         starts with a snapshot.
 
         Raises:
-            EndpointError: The feed failed, timed out or has a gap.
+            EndpointError: The feed failed, timed out, is malformed or has a
+                gap.
         """
         headers = {"x-router": self._incarnation}
         exchange = self._exchange("GET", endpoint.url + "/feed", headers, b"")
@@ -385,7 +390,7 @@
     Args:
         credential: The shared endpoint credential.
         clock: The router's clock.
-        incarnation: Incarnation of the router, with which runners state which
-            of its attempts a load report includes.
+        incarnation: Incarnation of the router. Runners need it to report the
+            number of the router's last attempt that a load report includes.
     """
     return Adapter(credential, clock, incarnation)
--- a/knapweedarch/transports.py
+++ b/knapweedarch/transports.py
@@ -18,8 +18,10 @@
 # Shorter than the 5 s after which hypercorn and most servers close idle
 # connections.
 KEEP_ALIVE_EXPIRY_S = 2.0
+# Per pool.
 MAX_CONNECTIONS = 512
 MAX_POOLS = 1024
+# Trace event of httpcore before it writes the request headers.
 SEND_STARTED = "http11.send_request_headers.started"
 
 # Endpoints have plain HTTP URLs. A context without certificates rejects HTTPS
@@ -50,7 +52,7 @@
             raise
 
     async def aclose(self) -> None:
-        """Returns the connection to the pool, or closes it."""
+        """Returns the connection to the pool, or closes it if incomplete."""
         with anyio.CancelScope(shield=True):
             if not self.complete:
                 await self._response.extensions["network_stream"].aclose()
@@ -67,7 +69,7 @@
 
     def __init__(self):
         self._pools: OrderedDict[str, httpx.AsyncHTTPTransport] = OrderedDict()
-        self._unpooled = _create_pool(keep_alive=0)
+        self._unpooled = _create_pool(max_idle_connections=0)
 
     async def handle_async_request(
         self, request: httpx.Request
@@ -122,10 +124,10 @@
         self._pools.clear()
 
 
-def _create_pool(keep_alive: int) -> httpx.AsyncHTTPTransport:
+def _create_pool(max_idle_connections: int) -> httpx.AsyncHTTPTransport:
     limits = httpx.Limits(
         max_connections=MAX_CONNECTIONS,
-        max_keepalive_connections=keep_alive,
+        max_keepalive_connections=max_idle_connections,
         keepalive_expiry=KEEP_ALIVE_EXPIRY_S,
     )
     return httpx.AsyncHTTPTransport(
--- a/standins/platform_runner.py
+++ b/standins/platform_runner.py
@@ -1,4 +1,4 @@
-"""Minimal runner of the users' platform, for tests without their bench.
+"""Minimal runner of the users' platform, for tests without its test bench.
 
 Runs a limited number of requests at once, caches prompt parts, publishes cache
 events, loads weights on order and sends heartbeats. Plain services are runners
@@ -24,14 +24,22 @@
 LOAD_DURATION_S = 0.3
 EVENT_INTERVAL_S = 0.02
 SERVICE_DURATION_S = 0.02
-PROMPT_TOKENS_S = 100_000.0
+PROMPT_TOKENS_PER_S = 100_000.0
 HEADER_PREFIX = "X-Knapweedarch-"
 JSON_TYPE = (b"content-type", b"application/json")
 
 
 @attrs.define
 class Run:
-    """A request that the runner started."""
+    """A request that the runner started.
+
+    Attributes:
+        request_id: Id of the request.
+        customer: Name of the customer.
+        weights: Version of the weights at the start.
+        computed_tokens: Number of prompt tokens that were not cached.
+        done: Whether the complete response was sent.
+    """
 
     request_id: str
     customer: str
@@ -51,12 +59,12 @@
         service: Service that it belongs to.
         model: Model that it serves; empty for a plain service.
         control_addresses: Returns the addresses to send heartbeats to.
-        concurrency: Requests that run at once.
+        concurrency: Largest number of requests that run at once.
         weights: Version of its weights.
         port: Port that it listens on, once it is started.
         runs: Started requests, in order.
         leaving: Whether its heartbeats report that it is draining.
-        leave_confirmed: Set when a member confirmed that heartbeat.
+        leave_confirmed: Set once a member has confirmed such a heartbeat.
         order_count: Number of accepted orders.
     """
 
@@ -81,7 +89,7 @@
     _changed: anyio.Event = attrs.field(factory=anyio.Event)
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
-        """Serves until cancelled."""
+        """Serves requests and sends heartbeats until cancelled."""
         self._limiter = anyio.CapacityLimiter(self.concurrency)
         server = InboundServer(self._handle, Clock())
         async with (
@@ -218,7 +226,7 @@
     ) -> None:
         run = Run(
             *(request_id, _header(req, HEADER_PREFIX + "Tenant"), self.weights),
-            computed_tokens=self._compute_prompt(req),
+            computed_tokens=self._cache_prompt(req),
         )
         self.runs.append(run)
         headers = (
@@ -233,12 +241,15 @@
             body = json.dumps({"request": request_id}).encode()
             await responder.send(Answer(status=200, headers=headers, body=body))
         else:
-            await anyio.sleep(run.computed_tokens / PROMPT_TOKENS_S)
+            await anyio.sleep(run.computed_tokens / PROMPT_TOKENS_PER_S)
             await self._stream(req, headers, responder)
         run.done = True
 
-    def _compute_prompt(self, req: Request) -> int:
-        """Caches the parts of a prompt; returns the tokens to compute."""
+    def _cache_prompt(self, req: Request) -> int:
+        """Caches the parts of a prompt; returns the number of uncached tokens.
+
+        Every part after the first uncached one counts as uncached.
+        """
         salt, computed, cached = (
             _header(req, HEADER_PREFIX + "Cache-Salt"),
             0,
@@ -258,10 +269,10 @@
         self, req: Request, headers, responder: Responder
     ) -> None:
         counts = _header(req, HEADER_PREFIX + "Token-Count", "0,0").split(",")
-        first = int(_header(req, "Last-Event-Id", "0"))
-        kind = (b"content-type", b"text/event-stream")
-        await responder.start(200, (*headers, kind))
-        for number in range(first + 1, int(counts[1]) + 1):
+        last_event_id = int(_header(req, "Last-Event-Id", "0"))
+        content_type = (b"content-type", b"text/event-stream")
+        await responder.start(200, (*headers, content_type))
+        for number in range(last_event_id + 1, int(counts[1]) + 1):
             await anyio.sleep(EVENT_INTERVAL_S)
             event = f"id: {number}\ndata: token {number}\n\n"
             await responder.write(event.encode())
