--- a/bench/variants.py
+++ b/bench/variants.py
@@ -220,7 +220,7 @@
             distance_s=distances,
             far_s=one_way_s,
             eviction_weight=deployment.eviction_weight,
-            peer_routers=routers,
+            router_count=routers,
         )
     )
 
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -415,5 +415,5 @@
 def expected_requests(context, count, others):
     placer = placement.Placer(placement.PlacementConfig())
     assert placer.occupancy(context.load) == count
-    placer.set_peer_routers(1 + others)
+    placer.set_router_count(1 + others)
     assert placer.occupancy(context.load) > count
--- a/features/steps/heavy_load_steps.py
+++ b/features/steps/heavy_load_steps.py
@@ -58,7 +58,7 @@
 def create_routers_and_runners(context, routers, runners):
     context.choosers = [create_chooser() for _ in range(routers)]
     for chooser in context.choosers:
-        chooser.set_peer_routers(routers)
+        chooser.set_router_count(routers)
     context.runners = [create_runner(i) for i in range(1, runners + 1)]
     context.now = NOW
 
--- a/features/steps/platform_site_steps.py
+++ b/features/steps/platform_site_steps.py
@@ -157,8 +157,8 @@
 
     async def action(site):
         async def reached():
-            models = [r for r in site.runners if r.model]
-            return all(r.weights == version for r in models)
+            model_runners = [r for r in site.runners if r.model]
+            return all(r.weights == version for r in model_runners)
 
         await site.wait(reached, limit)
         await plan.ended.wait()
--- a/knapweedarch/endpoint_choice.py
+++ b/knapweedarch/endpoint_choice.py
@@ -148,7 +148,7 @@
         self._target_versions: dict[str, int] = {}
         self._target_history: dict[str, list[_TargetVersion]] = {}
 
-    def set_peer_routers(self, count: int) -> None:
+    def set_router_count(self, count: int) -> None:
         """Sets how many routers, this one included, share the endpoints."""
         self._peer_factor = 1.0 + self._cfg.peer_load_weight * max(0, count - 1)
 
--- a/knapweedarch/placement.py
+++ b/knapweedarch/placement.py
@@ -40,7 +40,7 @@
             block, as a multiple of the block's prefill time.
         max_rank_charge_s: Upper bound of the charge for a runner's position in
             the rendezvous order; proportional to the position.
-        peer_routers: Number of routers, including this one, that use the same
+        router_count: Number of routers, including this one, that use the same
             load reports.
         peer_weight: Fraction of the other routers' unreported requests that is
             counted; each router is assumed to have as many as this one.
@@ -61,7 +61,7 @@
     eviction_weight: float = 0.5
     recompute_weight: float = 3.0
     max_rank_charge_s: float = 0.02
-    peer_routers: int = 1
+    router_count: int = 1
     peer_weight: float = 0.1
     occupancy_charge_s: float = 0.3
     replication_discount: float = 0.8
@@ -216,19 +216,19 @@
 
     def __init__(self, cfg: PlacementConfig):
         self._cfg = cfg
-        self.set_peer_routers(cfg.peer_routers)
+        self.set_router_count(cfg.router_count)
         self._hot = HotPrefixes(cfg.hot_window_s)
         self._rank_cache: dict[tuple[int, tuple[str, ...]], dict[str, int]] = {}
 
-    def set_peer_routers(self, count: int) -> None:
+    def set_router_count(self, count: int) -> None:
         """Sets the number of routers that use the same load reports.
 
         Args:
             count: Number of routers, including this one.
         """
-        self._cfg = attrs.evolve(self._cfg, peer_routers=max(1, count))
+        self._cfg = attrs.evolve(self._cfg, router_count=max(1, count))
         self._pending_weight = 1 + self._cfg.peer_weight * (
-            self._cfg.peer_routers - 1
+            self._cfg.router_count - 1
         )
 
     def wait_s(
@@ -247,7 +247,7 @@
         tokens = load.tokens_ahead(priority, self._pending_weight)
         queued = tokens / cfg.prefill_tokens_s
         wait = max(0.0, queued - max(0.0, now - load.reported_at))
-        ahead = sum(load.waiting_by_class[: priority + 1]) * cfg.peer_routers
+        ahead = sum(load.waiting_by_class[: priority + 1]) * cfg.router_count
         excess = self.occupancy(load) + ahead + 1 - endpoint.slots
         if excess > 0:
             wait += excess * cfg.service_s / endpoint.slots
@@ -335,7 +335,7 @@
             if depth >= len(ticket.blocks):
                 break
             block = ticket.blocks[depth]
-            rate = self._hot.rate_lower_bound(block, now) * cfg.peer_routers
+            rate = self._hot.rate_lower_bound(block, now) * cfg.router_count
             copies = min(len(endpoints), math.ceil(rate / per_runner))
             if copies < 2:
                 break
--- a/knapweedarch/proxy.py
+++ b/knapweedarch/proxy.py
@@ -185,7 +185,7 @@
 
     def _set_routers(self, count: int) -> None:
         self._attempts.router_count = count
-        self._attempts.chooser.set_peer_routers(count)
+        self._attempts.chooser.set_router_count(count)
 
     def _set_endpoints(self, entries: Sequence[EndpointEntry]) -> None:
         for entry in entries:
--- a/knapweedarch/router.py
+++ b/knapweedarch/router.py
@@ -86,7 +86,7 @@
             *(settings.name, self.incarnation, self._control, clock, metrics)
         )
         self._keeper.on_rules = self._set_rules
-        self._keeper.on_routers = self.scheduler.set_peer_routers
+        self._keeper.on_routers = self.scheduler.set_router_count
         self._endpoints = EndpointTable(
             *(self.scheduler, self.adapter, clock, metrics),
             *(distances_ms, self.incarnation),
--- a/knapweedarch/scheduler.py
+++ b/knapweedarch/scheduler.py
@@ -113,13 +113,13 @@
         self._limits.set_rules(rules)
         self._versions = {m.name: m.version for m in rules.models}
 
-    def set_peer_routers(self, count: int) -> None:
+    def set_router_count(self, count: int) -> None:
         """Sets the number of routers that use the same load reports.
 
         Args:
             count: Number of routers, including this one.
         """
-        self._placer.set_peer_routers(count)
+        self._placer.set_router_count(count)
 
     def version_for(self, model: str) -> str:
         """Returns the weights version used to hash a prompt.
