--- a/features/steps/platform_site_steps.py
+++ b/features/steps/platform_site_steps.py
@@ -20,7 +20,9 @@
     """Actions of a scenario against a running site.
 
     A site is bound to one event loop, so the steps collect actions and the
-    final step runs them all in one loop.
+    final step runs them all in one loop. Some steps also set `tokens`, the
+    length of each stream; `ended`, an event set when all streams have ended; or
+    `stopped`, the names of the processes that were told to stop.
 
     Attributes:
         shape: Numbers of members, proxies and runners.
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -64,7 +64,11 @@
 
 
 def faulty_events(rng, events: list[dict], fault: str) -> list:
-    """Applies a fault at a random index; `"DONE"` is the `[DONE]` marker."""
+    """Adds the `[DONE]` marker to the events and applies a fault, if any.
+
+    Most faults are at a random index, the others at the end of the stream.
+    `"DONE"` stands for the marker, `"garbage"` for an event of invalid JSON.
+    """
     items = [*events, "DONE"]
     last = len(events) - 1
     index = rng.randrange(max(1, last))
--- a/knapweedarch/background.py
+++ b/knapweedarch/background.py
@@ -44,7 +44,7 @@
     ) -> None:
         """Starts a function, which must end by itself.
 
-        It must not raise, since nothing handles its exception.
+        It must not raise, since its exception may be discarded.
         """
         if self._group is None:
             with anyio.CancelScope(shield=True):
--- a/knapweedarch/callers.py
+++ b/knapweedarch/callers.py
@@ -9,9 +9,9 @@
 from knapweedarch.exceptions import KnapweedarchError
 from knapweedarch.models import Outcome, RefusalReason
 
-# A stream is ended when a write to its caller takes longer than this. Long
-# enough for a mobile link to change cells, short enough to free the runner's
-# slot.
+# A response or stream is ended when a write to its caller takes longer than
+# this. Long enough for a mobile link to change cells, short enough to free the
+# runner's slot.
 WRITE_TIMEOUT_S = 10.0
 # Time limit for reading a request body, so that a slow sender cannot occupy
 # memory indefinitely.
@@ -114,7 +114,7 @@
     """Limits the total size of the request bodies in memory.
 
     Attributes:
-        limit: Maximum total in bytes.
+        limit_bytes: Maximum total in bytes.
         reserved_bytes: Current total in bytes.
     """
 
--- a/knapweedarch/endpoint_choice.py
+++ b/knapweedarch/endpoint_choice.py
@@ -36,8 +36,9 @@
             use.
         failure_penalty_s: Penalty for an endpoint at which every request fails.
         rank_penalty_s: Largest penalty for a low rank in the rendezvous order.
-        peer_load_weight: Load of each other router as a ratio of the own load,
-            assumed while no fresh loads of the others are known.
+        peer_load_weight: Load that each other router is assumed to cause, as a
+            ratio of this router's load, while no fresh loads of the others are
+            known.
         peer_loads_max_age_s: Age up to which reported loads of other routers
             are used.
         failure_half_life_s: Half-life of recorded failures, successes and
@@ -52,8 +53,8 @@
         old_weights_limit_s: Time after newer weights became the target during
             which a runner with older ones gets requests.
         sole_old_weights_limit_s: The same if no usable runner is within
-            `old_weights_limit_s`. A request may be queued at the runner for a
-            moment before it starts.
+            `old_weights_limit_s`. The limit allows for the time that a request
+            may be queued at the runner before it starts.
         prefill_slowdown: Relative increase of the prefill time per request at
             the runner.
         fetch_cost_ratio: Time to fetch a part that another runner has cached,
@@ -258,7 +259,7 @@
         self._last_activity_at[address] = now
 
     def exclude_pause(self, pause_s: float) -> None:
-        """Leaves a pause of this process out of the silence of runners.
+        """Excludes a pause of this process from the measured runner silence.
 
         Data that runners sent during the pause could not be read.
         """
@@ -406,7 +407,7 @@
             memory_tokens: Capacity of the runner's memory in tokens, or 0.
             is_repeat: Whether another endpoint was already tried.
             cached_tokens: Leading prompt tokens that the endpoint has cached.
-            max_cached_tokens: The same for the endpoint that has most.
+            max_cached_tokens: Largest `cached_tokens` of any endpoint.
         """
         cfg, stats = self._cfg, self._stats[endpoint.id]
         distance_s = cfg.distance_s.get(
@@ -456,8 +457,8 @@
     ) -> EndpointLoad:
         """Returns the load of all routers at an endpoint.
 
-        Without fresh loads of the other routers it is estimated from the own
-        load.
+        Without fresh loads of the other routers it is estimated from the load
+        of this router.
         """
         peer_load = self._peer_loads.get(endpoint.id)
         if not self._peer_loads_fresh:
--- a/knapweedarch/leases.py
+++ b/knapweedarch/leases.py
@@ -23,7 +23,7 @@
 
     Attributes:
         until: Expiry on the leader's clock, in seconds.
-        applied: Log index that the router has applied.
+        applied: Log index up to which the router has applied changes.
     """
 
     until: float
@@ -49,13 +49,18 @@
         self._in_force = 0
 
     def grant(self, holder: str, applied: int, now: float) -> float:
-        """Grants or renews the lease of a router that has applied `applied`.
+        """Grants or renews the lease of a router.
 
         While a change that the router has not applied is pending, the lease
         ends at the latest one lease duration after the first `in_force` call
         for that change. Otherwise a router that renews but never receives or
         applies a change would block it forever.
 
+        Args:
+            holder: The router.
+            applied: Log index up to which it has applied changes.
+            now: Current time.
+
         Returns:
             Duration of the lease in seconds, at most `lease_s`.
         """
@@ -107,7 +112,7 @@
         return [h for h, g in self._grants.items() if g.applied < index]
 
     def next_expiry(self, now: float) -> float:
-        """Returns when an expiry can next change `in_force`, in seconds."""
+        """Returns the next time at which an expiry can change `in_force`."""
         times = [g.until for g in self._grants.values() if g.until > now]
         if now < self._prior_grants_end:
             times.append(self._prior_grants_end)
--- a/knapweedarch/log_volume.py
+++ b/knapweedarch/log_volume.py
@@ -1,7 +1,7 @@
-"""Limits on a process's log: lines per second and buffered bytes.
+"""Limits on a process's log: lines per second of each event, buffered bytes.
 
 A line beyond a limit is dropped and counted. Writing never blocks: lines that
-the reader has not read yet are buffered in memory, up to a limit.
+the stream does not accept yet are buffered in memory, up to a limit.
 """
 
 import contextlib
@@ -46,7 +46,7 @@
         return False
 
     def take_dropped(self, now: float) -> dict[str, int]:
-        """Returns and resets the drop counts; empty while the window lasts."""
+        """Returns and resets the drop counts; empty until the window ends."""
         if not self.dropped or now - self._window_started_at < WINDOW_S:
             return {}
         dropped = dict(self.dropped)
@@ -60,7 +60,8 @@
     Args:
         stream: A file, pipe or terminal, whose descriptor becomes non-blocking,
             or a stream without a descriptor, such as `io.StringIO`.
-        max_pending_bytes: Limit of the buffer for unread lines.
+        max_pending_bytes: Limit of the buffer for lines that the stream does
+            not accept yet.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
                 os.set_blocking(self._descriptor, False)
 
     def write(self, line: str) -> bool:
-        """Returns whether a line was written or buffered, not dropped."""
+        """Writes or buffers a line; returns False if it was dropped."""
         if self._descriptor is None:
             self._stream.write(line + "\n")
             return True
--- a/knapweedarch/weights_rollout.py
+++ b/knapweedarch/weights_rollout.py
@@ -47,7 +47,8 @@
 # Maximum time to wait for requests queued in a runner. An order makes the
 # runner refuse them, and each refusal then uses up part of the repeat budget.
 QUEUE_TIMEOUT_S = 1.0
-# Reports of a runner are up to a few hundred milliseconds old.
+# Interval at which the queue of a runner is checked. Reports of a runner are up
+# to a few hundred milliseconds old.
 QUEUE_POLL_INTERVAL_S = 0.15
 # A new leader may not send orders immediately. It begins to drain runners this
 # long before it may, so that the first orders follow without a delay.
@@ -359,8 +360,8 @@
     def _drain_timeout_s(self, endpoint: Endpoint) -> float:
         """Returns the maximum time to wait for a runner's requests.
 
-        It is longest under a low load, and otherwise longer until a runner of
-        the same service has the target weights.
+        It is longest under a low load. Under other loads it is longer as long
+        as no active runner that serves the same models has the target weights.
         """
         is_any_updated = any(
             e.status is EndpointStatus.ACTIVE and not self._is_outdated(e)
@@ -372,7 +373,10 @@
         return DRAIN_TIMEOUT_S if is_any_updated else FIRST_DRAIN_TIMEOUT_S
 
     def _is_lightly_loaded(self) -> bool:
-        """Returns whether fewer runners could serve the current requests."""
+        """Returns whether the runners have few requests on average.
+
+        Fewer runners could then serve them.
+        """
         runners = self._runners()
         requests = sum(self._member.leader.requests_at(e.id) for e in runners)
         return requests < LOW_LOAD_REQUESTS_PER_RUNNER * len(runners)
