--- a/features/steps/platform_site_steps.py
+++ b/features/steps/platform_site_steps.py
@@ -20,7 +20,9 @@
     """Actions of a scenario against a running site.
 
     A site is bound to one event loop, so the steps collect actions and the
-    final step runs them all in one loop.
+    final step runs them all in one loop. Some steps also set `tokens`, the
+    length of each stream; `ended`, an event set when all streams have ended; or
+    `stopped`, the names of the processes that were told to stop.
 
     Attributes:
         shape: Numbers of members, proxies and runners.
@@ -157,8 +159,8 @@
 
     async def action(site):
         async def reached():
-            models = [r for r in site.runners if r.model]
-            return all(r.weights == version for r in models)
+            model_runners = [r for r in site.runners if r.model]
+            return all(r.weights == version for r in model_runners)
 
         await site.wait(reached, limit)
         await plan.ended.wait()
