--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -379,7 +379,7 @@
 
 
 @then("a retry at {hours:g} h gets its answer")
-def retry_answered(context, hours):
+def resend_answered(context, hours):
     context.result = reserve(context, "key", hours * HOUR_S)
     answered(context)
 
@@ -391,7 +391,7 @@
 
 
 @then("a retry at {hours:g} h is a new call")
-def retry_is_new(context, hours):
+def resend_is_new(context, hours):
     assert reserve(context, "key", hours * HOUR_S) == Reserved()
 
 
@@ -423,7 +423,7 @@
     "a leader whose clock is {ahead:g} h ahead adds a timestamp to the retry "
     "{hours:g} h later"
 )
-def retry_with_timestamp(context, ahead, hours):
+def resend_with_timestamp(context, ahead, hours):
     since = ahead * HOUR_S
     timestamps = TimestampSource(context.state.last_stamp, since)
     at = timestamps.timestamp(since + hours * HOUR_S)
@@ -433,7 +433,7 @@
 @when(
     "the timestamp of the retry is taken from a clock that is {ahead:g} h ahead"
 )
-def retry_with_bare_clock(context, ahead):
+def resend_with_bare_clock(context, ahead):
     context.result = reserve(context, "key", ahead * HOUR_S)
 
 
