--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -3,7 +3,7 @@
   Scenario: A key runs at most once under faults
     Guards against a call that runs twice, is sent after its outcome was
     recorded as unknown, or gets an answer other than that of its run.
-    When 1500 schedules of crashes, lost leases, retries and duplicated commands run
+    When 1500 schedules of crashes, lost leases, resends and duplicated commands run
     Then every at-most-once guarantee held
     And at least 1000 calls ran and 300 outcomes were unknown
 
@@ -24,8 +24,8 @@
   Scenario: Records are kept for 24 hours
     Guards against records that are dropped too early or never.
     Given a call that ran at 0 h
-    Then a retry at 23.9 h gets its answer
-    And a retry at 24.1 h is a new call
+    Then a resend at 23.9 h gets its answer
+    And a resend at 24.1 h is a new call
 
   Scenario: A full table refuses new keys and keeps old ones
     Guards against evicting a record whose call could then run again.
@@ -37,11 +37,11 @@
     Guards against a call that runs again because the clocks of two leaders
     differ.
     Given a call that ran at 0 h
-    When a leader whose clock is 720 h ahead adds a timestamp to the retry 0.1 h later
-    Then the retry gets the answer
+    When a leader whose clock is 720 h ahead adds a timestamp to the resend 0.1 h later
+    Then the resend gets the answer
 
   Scenario: With bare clocks as stamps the call would run again
     Guards against a check of the timestamps that passes with any clock.
     Given a call that ran at 0 h
-    When the timestamp of the retry is taken from a clock that is 720 h ahead
-    Then the retry is a new call
+    When the timestamp of the resend is taken from a clock that is 720 h ahead
+    Then the resend is a new call
--- a/features/lease.feature
+++ b/features/lease.feature
@@ -28,9 +28,9 @@
 
   Scenario: Operators race with different files under an equal base version
     Guards against an operator who unknowingly overwrites another one's file.
-    When 1500 races of operators who retry after lost answers run
+    When 1500 races of operators who resend files after lost answers run
     Then each base version has exactly one accepted file
-    And each retry got the first answer
+    And each resend got the first answer
     And no version of the rules was followed by an older text
 
   Scenario Outline: The races find a rule that is left out
@@ -44,7 +44,7 @@
       | answers are not stored          |
 
   Scenario: A late resend of an old file never reverts a newer one
-    Guards against applying a retry as a new command after its stored answer
+    Guards against applying a resend as a new command after its stored answer
     was dropped.
     Given rule files 1 and 2 were accepted
     And the stored answer to file 1 was dropped from the bounded table
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -329,7 +329,7 @@
 
 
 @when(
-    "{count:d} schedules of crashes, lost leases, retries and duplicated "
+    "{count:d} schedules of crashes, lost leases, resends and duplicated "
     "commands run"
 )
 def run_call_schedules(context, count):
@@ -378,19 +378,19 @@
     apply(context, done)
 
 
-@then("a retry at {hours:g} h gets its answer")
+@then("a resend at {hours:g} h gets its answer")
 def resend_answered(context, hours):
     context.result = reserve(context, "key", hours * HOUR_S)
     answered(context)
 
 
-@then("the retry gets the answer")
+@then("the resend gets the answer")
 def answered(context):
     assert isinstance(context.result, RecordFound), context.result
     assert context.result.record.answer == b"answer"
 
 
-@then("a retry at {hours:g} h is a new call")
+@then("a resend at {hours:g} h is a new call")
 def resend_is_new(context, hours):
     assert reserve(context, "key", hours * HOUR_S) == Reserved()
 
@@ -420,7 +420,7 @@
 
 
 @when(
-    "a leader whose clock is {ahead:g} h ahead adds a timestamp to the retry "
+    "a leader whose clock is {ahead:g} h ahead adds a timestamp to the resend "
     "{hours:g} h later"
 )
 def resend_with_timestamp(context, ahead, hours):
@@ -431,12 +431,13 @@
 
 
 @when(
-    "the timestamp of the retry is taken from a clock that is {ahead:g} h ahead"
+    "the timestamp of the resend is taken from a clock that is {ahead:g} h "
+    "ahead"
 )
 def resend_with_bare_clock(context, ahead):
     context.result = reserve(context, "key", ahead * HOUR_S)
 
 
-@then("the retry is a new call")
+@then("the resend is a new call")
 def is_new(context):
     assert context.result == Reserved(), context.result
--- a/features/steps/lease_schedule_steps.py
+++ b/features/steps/lease_schedule_steps.py
@@ -389,7 +389,7 @@
     """Stores no answers."""
 
     def apply(self, data: bytes) -> bytes:
-        """Applies a retry as if it were a new command."""
+        """Applies a resend as if it were a new command."""
         self._answers.clear()
         return super().apply(data)
 
@@ -406,9 +406,9 @@
 
 
 def race(seed, state_class=ControlState):
-    """Runs operators who submit rule files and retry after lost answers.
+    """Runs operators who submit rule files and resend them after lost answers.
 
-    A retry may come after other operators' commands.
+    A resend may come after other operators' commands.
     """
     rng, state = random.Random(seed), state_class()
     sent, first_answers, accepted, texts = [], {}, {}, [""]
@@ -432,7 +432,7 @@
     assert len(accepted) == state.rules_version
 
 
-@when("{count:d} races of operators who retry after lost answers run")
+@when("{count:d} races of operators who resend files after lost answers run")
 def run_races(context, count):
     run_seeds(context, count, race)
 
@@ -443,7 +443,7 @@
 
 
 @then("each base version has exactly one accepted file")
-@then("each retry got the first answer")
+@then("each resend got the first answer")
 @then("no version of the rules was followed by an older text")
 def race_guarantees_held(context):
     no_fault_found(context)
@@ -556,7 +556,7 @@
 
 
 def random_commands(rng):
-    """Returns commands of several kinds, with retries."""
+    """Returns commands of several kinds; some are sent more than once."""
     commands = []
     for n in range(60):
         name = f"e{rng.randrange(3)}"
