--- a/features/adapter.feature
+++ b/features/adapter.feature
@@ -89,5 +89,5 @@
     the call lags behind the leader and does not know the endpoint yet.
     Given a member whose own state holds no endpoint
     And the log holds runner "i-1" of incarnation "5"
-    When runner "i-1" deletes itself at the member
+    When the member handles a DELETE request for instance "i-1"
     Then the call is confirmed and runner "i-1" has status leaving
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -362,7 +362,7 @@
     context.member.log.apply(COMMANDS.encode(Announce(endpoint)))
 
 
-@when('runner "{name}" deletes itself at the member')
+@when('the member handles a DELETE request for instance "{name}"')
 def send_leave(context, name):
     req = Request(
         method=b"DELETE",
