--- a/features/adapter.feature
+++ b/features/adapter.feature
@@ -1,4 +1,4 @@
-Feature: The platform's messages
+Feature: Decoding of the platform's messages and settings
 
   Scenario: A configuration is decoded once, into the project's types
     Guards against a key that is decoded into the wrong field: several keys have
@@ -30,7 +30,7 @@
       | a prefix has no slash at its end     |
       | the body is a list                   |
 
-  Scenario Outline: A heartbeat that cannot be read names no endpoint
+  Scenario Outline: A malformed heartbeat is refused
     Guards against requests sent to an endpoint from a malformed heartbeat.
     Given the platform's example heartbeat
     When its <field> is <value>
@@ -75,7 +75,7 @@
     And a settings file with "seedNodes" set to "nowhere" is refused
     And a settings file with "faultBudget.machines" set to "two" is refused
 
-  Scenario: A process takes over changed settings and survives SIGHUP
+  Scenario: SIGHUP reloads changed settings, and invalid ones are refused
     Guards against a SIGHUP that ends the process and aborts its requests.
     Given a proxy process started as on the platform
     When its settings name another seed and it receives SIGHUP
@@ -84,7 +84,7 @@
     Then it logs the event "settings_refused"
     And it exits with code 0 after SIGTERM
 
-  Scenario: A runner that leaves is taken out by any member
+  Scenario: Any member can take a leaving runner out of use
     Guards against a confirmed leave that is lost, because the member that gets
     the call lags behind the leader and does not know the endpoint yet.
     Given a member whose own state holds no endpoint
--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -7,7 +7,7 @@
     Then every at-most-once guarantee held
     And at least 1000 calls ran and 300 outcomes were unknown
 
-  Scenario Outline: The schedules find a rule that is left out
+  Scenario Outline: Fault schedules detect a missing at-most-once rule
     Guards against schedules that pass although a rule is missing.
     When up to 1500 such schedules run in which <fault>
     Then an at-most-once guarantee was violated
@@ -33,14 +33,14 @@
     Then a new key at 24 h is refused and a known key is found
     And a new key at 25.1 h is reserved
 
-  Scenario: A leader whose clock is ahead drops no record
+  Scenario: A leader whose clock is ahead does not drop records early
     Guards against a call that runs again because the clocks of two leaders
     differ.
     Given a call that ran at 0 h
     When a leader whose clock is 720 h ahead adds a timestamp to the resend 0.1 h later
     Then the resend gets the answer
 
-  Scenario: With bare clocks as stamps the call would run again
+  Scenario: With unadjusted clock timestamps a resend runs as a new call
     Guards against a check of the timestamps that passes with any clock.
     Given a call that ran at 0 h
     When the timestamp of the resend is taken from a clock that is 720 h ahead
--- a/features/command_line.feature
+++ b/features/command_line.feature
@@ -53,12 +53,12 @@
     Then it exits with 0 and prints "accepted, version 2"
     And it warns "request id "
 
-  Scenario: A file that was never compared cannot undo rules in force
+  Scenario: A file that was not compared first cannot replace rules in force
     When the tool runs "apply FILE"
     Then it exits with 1 and warns "based on version 0, but version 1 is in force"
     And the members hold version 1
 
-  Scenario: A change by another operator in between is not undone
+  Scenario: A change by another operator after the diff is not overwritten
     When the tool runs "diff FILE"
     And another operator applies "model other  # asked by O"
     And the tool runs "apply FILE"
@@ -101,7 +101,7 @@
       | announce runner-1   |
       | form                |
 
-  Scenario Outline: A lost status answer leaves no outcome open
+  Scenario Outline: A lost status answer is not reported as unknown outcome
     Given the next answer is lost
     When the tool runs "<command>"
     Then it exits with 3 and warns "no control member answered"
@@ -111,7 +111,7 @@
       | status            |
       | announce runner-1 |
 
-  Scenario: A command that breaks off does not claim that nothing was done
+  Scenario: An exception after a send is reported as unknown outcome
     # An unhandled exception would exit with code 1, which means that nothing was
     # done.
     Given the next answer is lost by a fault in the tool
--- a/features/core.feature
+++ b/features/core.feature
@@ -1,6 +1,6 @@
 Feature: Router leases
 
-  Scenario: A new leader waits out the leases of its predecessor
+  Scenario: A new leader waits until its predecessor's leases have expired
     Guards against a change that is in force while a router still holds a lease
     granted by the previous leader.
     Given a lease table of a leader elected at 10.0 s
--- a/features/decisions.feature
+++ b/features/decisions.feature
@@ -1,6 +1,6 @@
 Feature: Placement, admission and retries
 
-  Scenario: Prompts of other customers and versions share no block
+  Scenario: Prompts of different customers or versions share no block
     Guards against cache hits across customers or weights versions.
     Given a prompt of 40000 bytes
     Then its blocks differ between customers "a" and "b"
@@ -8,7 +8,7 @@
     And it has 4 full blocks
     And hashing it in pieces of 5000 bytes gives the same blocks
 
-  Scenario: A gap in the events drops what a runner had
+  Scenario: A gap in a runner's events drops its index entries
     Guards against blocks that count as cached although a missed event evicted
     them.
     Given 3 runners
@@ -40,7 +40,7 @@
     When a guest request arrives
     Then it is sent to runner r1 with 4 cached blocks
 
-  Scenario: A restarted runner counts as empty
+  Scenario: A restarted runner has no cached blocks in the index
     Guards against entries that survive a restart of their runner.
     Given 3 runners
     And runner r1 has stored the prompt as event 1
@@ -57,7 +57,7 @@
     When 20 guest requests arrive
     Then none of them is sent to runner r1
 
-  Scenario: Own sends that no report includes spread a burst
+  Scenario: Requests sent since the last load report count as load
     Guards against a burst that is sent to one runner between two load reports.
     Given 3 runners with 4 slots
     When 12 guest requests arrive
@@ -72,7 +72,7 @@
     Then it is refused with "deadline"
     And nothing waits
 
-  Scenario: The queue drops what has become too late
+  Scenario: A queued request is refused when its deadline has passed
     Guards against requests that stay in the queue after their deadline.
     Given 3 runners with 4 slots
     And every runner reports 4 requests and 0 queued tokens
@@ -80,7 +80,7 @@
     Then it waits
     And at 60.1 s it is refused with "deadline"
 
-  Scenario: Batch waits for room that a guest may take
+  Scenario: A batch request waits for a slot that a guest request may use
     Guards against batch requests that use the slots reserved for guests.
     Given 3 runners with 4 slots
     And every runner reports 3 requests and 0 queued tokens
@@ -89,7 +89,7 @@
     When a guest request arrives
     Then it is sent
 
-  Scenario: A batch request that has waited counts as a higher class
+  Scenario: A batch request is promoted to a higher class after a wait
     Guards against starvation of a lower class.
     Given 3 runners with 8 slots
     And every runner reports 3 requests and 0 queued tokens
@@ -98,12 +98,12 @@
     And polls up to 39.9 s return nothing
     And a poll at 40.2 s sends it
 
-  Scenario: A customer's share decides which of its requests come first
+  Scenario: Queued requests are served in proportion to customers' shares
     Guards against a customer that gets more than its share of a class.
     Given a queue in which customer "a" with share 3 and "b" with share 1 have 8 requests each
     Then the first 8 served requests contain 6 of "a"
 
-  Scenario: Limits of a customer are refusals with a time
+  Scenario: Requests beyond a customer's limits are refused with a retry delay
     Guards against limits without effect and refusals without a retry delay.
     Given 3 runners
     And customer "a" may send 2 requests per second and 3 at once
@@ -131,7 +131,7 @@
     When every runner fails 3 times in a row
     Then 3 runners are ejected
 
-  Scenario: A runner that comes back is loaded slowly
+  Scenario: A restarted runner gets few requests at first
     Guards against a restarted runner that is overloaded while its cache is empty.
     Given 3 runners with 8 slots
     And runner r1 restarts as incarnation "new"
@@ -146,11 +146,11 @@
     Then with 1 load in progress the next loads of "v2" are 2 runners
     And with 3 loads in progress the next loads of "v2" are 0 runners
 
-  Scenario: Equal seeds give equal figures
+  Scenario: Bench runs with equal seeds give equal results
     Guards against decisions that depend on anything but the seed and the input.
     Then two bench runs of "huts" in scenario "one slow runner" agree
 
-  Scenario: A router learns how many others choose from the same reports
+  Scenario: Expected load includes requests of other routers
     Guards against an overloaded runner when each router counts only its own
     requests.
     Given a runner that a router has sent 4 requests since its last report
--- a/features/deployment.feature
+++ b/features/deployment.feature
@@ -15,7 +15,7 @@
     Then none of them is served for the removed customer
     And router-2 has applied the new rules within 4.0 s
 
-  Scenario: A frozen leader gives no orders and serves nothing stale
+  Scenario: A leader that resumes after a freeze does not act on old rules
     Guards against two members that both act as the leader.
     Given the leader is frozen
     When an operator applies rules without the customer
@@ -23,7 +23,7 @@
     When the frozen leader continues
     Then the status shows the new rules and no request is served for the customer
 
-  Scenario: The leader is killed and every deposit is still taken at most once
+  Scenario: Deposits run at most once when the leader is killed
     Guards against a reservation that is lost or duplicated by a leader change.
     When 20 deposits are sent, each through both routers, while the leader is killed
     Then the desk ran no deposit twice
@@ -37,7 +37,7 @@
     Then router-1 serves a chat request within 5.0 s of its start
     And a resend of the deposit through router-2 returns the first answer
 
-  Scenario: A member loses its disk, and another one is lost after the repair
+  Scenario: A deposit record survives a disk loss followed by a member crash
     Guards against a blank member that votes as if it still had its log.
     Given a deposit was taken through router-1
     When a follower loses its disk and is replaced
@@ -59,13 +59,13 @@
     Then 20 requests to that router are refused as lease_expired
     And 5 more requests through each router run on the other runner
 
-  Scenario: A runner is killed in mid-stream
+  Scenario: A stream is complete after its runner is killed
     Guards against truncated or duplicated text.
     Given a stream of 150 tokens runs through router-1
     When the runner that serves the stream is killed
     Then the stream is complete
 
-  Scenario: Control links go silent while new connections work
+  Scenario: A router recovers when its open control links stop forwarding
     Guards against a router that waits forever on a connection that a middlebox
     no longer forwards.
     Given a router whose control links pass through a relay
@@ -95,7 +95,7 @@
     Then 2 of them are complete and 4 are refused as queue_full
     And it answered each readiness check and deposit meanwhile
 
-  Scenario: A rolling restart of everything cuts no request
+  Scenario: A rolling restart of all members and routers fails no request
     Guards against graceful restarts that make requests of callers fail.
     When every member and router is stopped and started in turn while requests go on
     Then every request was answered
--- a/features/endpoint_registry.feature
+++ b/features/endpoint_registry.feature
@@ -1,6 +1,6 @@
-Feature: Endpoints as the leader knows them
+Feature: The leader's endpoint registry
 
-  Scenario Outline: A runner that was away returns with old weights
+  Scenario Outline: A returning runner with outdated weights must load new ones
     Guards against requests to a runner whose weights became outdated while it
     was away.
     Given active runner "a" with weights <others>
@@ -17,7 +17,7 @@
       | 1      | silent  | 1        | active  |
       | 2      | active  | 1        | active  |
 
-  Scenario: A later start at an address ends the one before
+  Scenario: A later start at an address replaces the earlier instance
     Guards against requests to an instance whose address another instance has
     taken over.
     Given active runner "a" with weights 1
@@ -25,7 +25,7 @@
     Then runner "a" is silent
     And runner "c" is active
 
-  Scenario: A heartbeat without the lead is sent on
+  Scenario: A heartbeat at a member that is not the leader is refused
     Guards against a heartbeat that is confirmed by a member that is no longer
     the leader, and is then lost.
     Given active runner "a" with weights 1
--- a/features/heavy_load.feature
+++ b/features/heavy_load.feature
@@ -1,6 +1,6 @@
-Feature: Runner choice, caches and repeats under heavy load
+Feature: Runner choice, caching and retries under heavy load
 
-  Scenario: Long prompts that arrive at eight routers at once spread out
+  Scenario: Concurrent long prompts of eight routers are spread over runners
     Load: a burst of prompts of 9,000 tokens; each router sees only its own.
     Guards against several routers that choose the same runner.
     Given 8 routers and 9 runners
@@ -8,7 +8,7 @@
     Then no runner has more than 5 long prompts
     And without sharing some runner has more than 5 long prompts
 
-  Scenario: The load of others counts only while it is fresh
+  Scenario: Load reported by other routers is ignored once it is outdated
     Load: the leader fails during a burst. Guards against choices by old loads.
     Given 1 router and 2 runners
     When other routers reported 1.0 s ago that runner 1 is full
@@ -16,7 +16,7 @@
     When other routers reported 0.1 s ago that runner 1 is full
     Then a long prompt goes to runner 2
 
-  Scenario: Long prompts keep away from runners with many streams
+  Scenario: Long prompts avoid runners with many streams
     Load: long batch prompts beside chats. Guards against pauses in running
     streams.
     Given 1 router and 2 runners
@@ -31,7 +31,7 @@
     And a repeated request goes to runner 2 with 10 streams there
     And after 6.6 s only runner 2 gets requests at any load
 
-  Scenario: A runner that refuses connections is left alone
+  Scenario: A runner that refuses a connection is avoided for a time
     Load: runners crash in turn. Guards against requests that fail one after
     another at the same runner.
     Given 1 router and 2 runners
@@ -39,14 +39,14 @@
     Then a long prompt goes to runner 2
     And after 2.1 s runner 1 may be chosen again
 
-  Scenario: An address that another instance took over is not used again
+  Scenario: An address that another instance took over is no longer used
     Load: runners crash and restart. Guards against repeated 421 responses until
     the old instance counts as silent.
     Given 1 router and 2 runners
     When another instance answers for runner 1
     Then after 60.0 s a long prompt goes to runner 2
 
-  Scenario: A runner that fails most requests gets few
+  Scenario: A runner that fails most requests is avoided
     Load: a runner with a partial failure that passes its health check. Guards
     against requests that fail there.
     Given 1 router and 2 runners
@@ -62,7 +62,7 @@
     When a cache event reports that runner 2 evicted the first part
     Then runner 1 fetches nothing
 
-  Scenario: A restarted source holds nothing
+  Scenario: Cached parts are not fetched from a restarted runner
     Load: the store fails and restarts empty. Guards against fetches from a
     source that no longer holds the parts.
     Given 1 router and 2 runners
@@ -70,14 +70,14 @@
     And runner 2 restarts and reports no events
     Then runner 1 fetches nothing
 
-  Scenario: Saves in a store are few, and none twice
+  Scenario: Saves to a store are rate-limited and not repeated per document
     Load: many documents at once. Guards against saves that fill the link.
     Given a limit of 2 saves a second
     When 100 prompts for 50 documents arrive within 1 s
     Then 1 to 3 prompts are saved, at most one per document
     And prompts with more than 4000 tokens of their own are not saved
 
-  Scenario Outline: Repeats of all routers stay within the bound of any window
+  Scenario Outline: Retries of all routers stay within the budget in any window
     Load: runners crash under high load, and routers restart.
     Guards against repeats that prolong an overload.
     Given a bound of 0.2 per request plus 56 in 10 s for 8 routers
@@ -90,7 +90,7 @@
       | with a restart of all routers at 20 s |
       | with a restart of one router every 3 s |
 
-  Scenario: A router that was stopped takes no runner for silent
+  Scenario: A resumed router does not mark runners as silent
     Guards against a resumed router that refuses every request because it takes
     all runners for silent.
     Given 3 runners that were all last active 0.2 s ago
@@ -98,19 +98,19 @@
     Then all 3 runners may be chosen
     And none of them may be chosen after 2 s without a byte
 
-  Scenario: Parts are looked for under the weights of each runner
+  Scenario: Cached parts are looked up by the weights of each runner
     Guards against recomputing cached parts while weights are rolled out.
     Given runner "old" with weights 1 and runner "new" with weights 2
     And runner "new" holds a prompt's shared parts under its weights
     Then the prompt goes to runner "new", whichever is listed first
 
-  Scenario: A process notices that it was stopped
+  Scenario: A process detects that it was paused
     Guards against a process that acts on stale state after a pause.
     Given timers that fire every 0.1 s
     When the process runs for 1.0 s, pauses for 3.0 s and continues
     Then one pause of 3.0 s is detected
 
-  Scenario: Old weights serve a little longer where there are no newer ones
+  Scenario: Old weights stay usable for a time if no runner has the new ones
     Load: new weights while no leader may give orders. Guards against a service
     that refuses every request because no runner has the new weights.
     Given 1 router and 2 runners
--- a/features/journal.feature
+++ b/features/journal.feature
@@ -11,10 +11,10 @@
       | overwritten by zeros |
       | followed by zeros    |
 
-  Scenario: Random saves and restarts give back exactly what was saved
+  Scenario: A journal returns exactly the saved data after random restarts
     Then 60 random journals match their models after every restart
 
-  Scenario Outline: Damage that a crash cannot cause stops the process
+  Scenario Outline: Corruption that a crash cannot cause stops the process
     Given a journal with 20 random saves and an in-memory model
     When <damage>
     Then opening the journal fails with "<reason>"
@@ -34,7 +34,7 @@
     When the last record holds a copy of an earlier record and is torn
     Then the journal opens with all but the last save
 
-  Scenario Outline: After a failure the journal saves nothing more
+  Scenario Outline: After a failed save the journal refuses all later saves
     Given a journal with 20 random saves and an in-memory model
     When the operation <operation> fails with <error> while <what> is saved
     Then the save fails and so does every later one
@@ -49,7 +49,7 @@
       | rename      | EIO    | a snapshot |
       | sync_folder | EIO    | a snapshot |
 
-  Scenario: A member whose disk is full waits for room
+  Scenario: A member whose disk is full retries until there is space
     Guards against a process that exits and is restarted until the disk has room.
     Given a journal with 1 random saves and an in-memory model
     And the disk is full for the first 2 write attempts
@@ -57,12 +57,12 @@
     Then it opened at the third attempt with all saved entries
     And the log reports once that the disk is full
 
-  Scenario: A record whose sync failed is written again before it counts
+  Scenario: A record whose sync failed is rewritten and synced on restart
     Given a journal with 20 random saves and an in-memory model
     When the operation sync fails with EIO while an entry is saved
     Then the next start writes the log to a new file and syncs it
 
-  Scenario: Hundreds of changes leave one log file and one snapshot
+  Scenario: Snapshots bound the number and size of journal files
     Given a journal with 900 changes and a snapshot after every 100
     Then the folder holds 4 files and less than 60000 bytes
 
@@ -70,12 +70,12 @@
     Given a journal with 20 random saves and an in-memory model
     Then forming a group is refused
 
-  Scenario: A group forms, restarts together and keeps its entries
+  Scenario: A new group keeps its entries when all members restart
     Given three blank journals that form a group
     When an entry is committed and all members restart
     Then all members hold the entry again
 
-  Scenario Outline: A restarted member counts its wait from its start
+  Scenario Outline: The restart wait counts from the start of the process
     Guards against an outage prolonged by the time that imports take, and against
     a vote while a lease from before the restart may still hold.
     Given three blank journals that form a group
--- a/features/lease.feature
+++ b/features/lease.feature
@@ -1,4 +1,4 @@
-Feature: Changes in force under faults
+Feature: Changes to the control state under faults
 
   Scenario: No router works under a state older than an answered change
     Guards against a router that still applies rules that an operator was told
@@ -8,7 +8,7 @@
     And every change was answered within 2.3 s unless the leader changed
     And at least 600 changes were answered
 
-  Scenario Outline: The schedules find a rule that is left out
+  Scenario Outline: Fault schedules detect a missing lease rule
     Guards against schedules that pass although a rule is missing.
     When up to 300 schedules run in which <fault>
     Then a router started work under an older state
@@ -20,20 +20,20 @@
       | a change is answered as soon as it is committed               |
       | the leader adds no margin for clock drift to a lease of 2.0 s |
 
-  Scenario: Without its limit a router that hears no answer blocks changes
+  Scenario: Without a limit a router that gets no replies blocks changes
     Guards against schedules that never reach the limit of a lease during a
     pending change.
     When up to 300 schedules run in which routers that receive no replies get new leases
     Then an answer took longer than 4.0 s under one leader
 
-  Scenario: Operators race with different files under an equal base version
+  Scenario: Of concurrent files on one base version only one is accepted
     Guards against an operator who unknowingly overwrites another one's file.
     When 1500 races of operators who resend files after lost answers run
     Then each base version has exactly one accepted file
     And each resend got the first answer
     And no version of the rules was followed by an older text
 
-  Scenario Outline: The races find a rule that is left out
+  Scenario Outline: Races of concurrent operators detect a missing check
     Guards against races that pass although a rule is missing.
     When up to 300 races run in which <fault>
     Then a guarantee to the operators was violated
@@ -57,17 +57,17 @@
     When 1000 schedules of announcements, restarts and retirements run
     Then no endpoint came back without an operator
 
-  Scenario: Without the retired mark a restarted endpoint comes back
+  Scenario: Without a stored retirement a restarted endpoint comes back
     Guards against schedules that pass although retirements are not stored.
     When up to 300 schedules of announcements run in which retirements are not stored
     Then an endpoint came back without an operator
 
-  Scenario: A snapshot at any point changes nothing
+  Scenario: Snapshots do not change the results of commands
     Guards against a part of the state that snapshots omit.
     When 300 command sequences run with and without snapshots
     Then their results and final states are equal
 
-  Scenario: Without the stored answers in it a snapshot changes results
+  Scenario: Snapshots without the stored answers change results
     Guards against command sequences that pass although snapshots omit a part.
     When up to 300 command sequences run in which snapshots lack the answers
     Then some results or final states differ
--- a/features/observability.feature
+++ b/features/observability.feature
@@ -1,6 +1,6 @@
-Feature: Logs and metrics from which a failure can be explained
+Feature: Logs, metrics and the explain command
 
-  Scenario: More lines than a second may have are counted
+  Scenario: Log lines over the rate limit are dropped and counted
     Guards against a log volume that overloads the log collector under load.
     Given logs that go to memory
     When 1000 lines of one event and 3 of another are logged within a second
@@ -8,7 +8,7 @@
     Then 200 lines of the first and 3 of the other were written
     And 800 lines of the first are reported as dropped
 
-  Scenario: A reader that stops reading costs lines and no time
+  Scenario: A blocked log reader drops lines without delaying requests
     Guards against requests that block on a slow log collector.
     Given logs that go to a pipe that is not read
     And a proxied runner that answers
@@ -18,7 +18,7 @@
     Then the pipe contained only complete lines
     And lines are reported as dropped
 
-  Scenario: Metrics are a page for scrapers
+  Scenario: Metrics are served as a page for scrapers
     Guards against counters that cannot be fetched during an incident.
     Given a metrics server
     When "refused.deadline" is counted 2 times
@@ -33,7 +33,7 @@
       | knapweedarch_lease_left_s 2.5                                                                |
     And the page at "/other" is not found
 
-  Scenario Outline: Each end of a request has its own histogram
+  Scenario Outline: Each request outcome has its own histogram
     Guards against latency figures that mix answers with refusals.
     Given a proxied runner that <mode>
     When a caller sends a request that <kind>
@@ -72,7 +72,7 @@
       | lost its router   | 0    | the logs do not show its end: the process ended first, or lines were dropped; it had been sent to endpoint i-1 |
       | nobody saw        | 1    | no line names request r1 |
 
-  Scenario: What was told of endpoints and router stands beside the request
+  Scenario: An explained request shows events of its router and endpoints
     Guards against a manual search through the logs of the members.
     Given the log lines of a request that broke off
     When the tool explains the request
--- a/features/orders.feature
+++ b/features/orders.feature
@@ -1,6 +1,6 @@
-Feature: Orders to runners
+Feature: Load orders to runners
 
-  Scenario: The right to give orders ends with a lapse of the lease
+  Scenario: A router may not send orders after a lapse of its lease
     Guards against orders of a previous holder after another router took over.
     Given a router whose lease runs until 12.0 s and that has been entitled to order since 10.0 s
     Then it may order a runner that checks fencing numbers at 11.0 s
@@ -14,7 +14,7 @@
     When the lease is renewed without a lapse until 17.0 s
     Then it may order a runner that ignores fencing numbers at 15.5 s
 
-  Scenario Outline: A roll-out keeps two thirds of the runners
+  Scenario Outline: A roll-out keeps two thirds of the runners in use
     Guards against a roll-out that removes too much capacity or overloads the
     weight store.
     Given <runners> runners on w1 and rules that name w2
--- a/features/platform_site.feature
+++ b/features/platform_site.feature
@@ -1,9 +1,9 @@
-Feature: The whole path on the users' platform, without their bench
+Feature: End-to-end requests with stand-ins for the platform
 
   Members and proxies run as separate processes on loopback; stand-ins replace
   the platform's runners, operator and callers.
 
-  Scenario: A calm site forms itself and serves
+  Scenario: A site without faults forms a group and serves requests
     Guards against a group that does not form from its seeds, and against
     responses that do not come from the runners.
     Given a platform site of 3 members, 2 proxies and 3 runners
@@ -11,7 +11,7 @@
     Then each stream is complete and each booking was executed once
     And the configuration is read back as it was sent
 
-  Scenario: Later requests with one prompt find its parts cached
+  Scenario: Repeated prompts use cached parts
     Guards against cached prompt prefixes that are computed again.
     Given a platform site of 3 members, 2 proxies and 3 runners
     When 12 streams of 2 tokens are requested one after the other
@@ -24,7 +24,7 @@
     Then every runner has weights 2 within 8.0 s
     And each stream is complete
 
-  Scenario: Every process is killed and nothing confirmed is lost
+  Scenario: Confirmed configurations survive a restart of every process
     Guards against a configuration that is lost by a restart, and against an
     outage that is longer than the platform allows.
     Given a platform site of 3 members, 2 proxies and 3 runners
--- a/features/proxy.feature
+++ b/features/proxy.feature
@@ -23,7 +23,7 @@
       | refuses connections          | 200    | 1      |
       | is silent                    | 504    | 0      |
 
-  Scenario Outline: A call that may be repeated is repeated at another runner
+  Scenario Outline: A call that may be repeated is retried at another runner
     Guards against an error that a retry at a second runner would have avoided.
     Given a proxied runner that <does>
     And a proxied runner that answers
@@ -41,21 +41,21 @@
       | refuses connections |
       | is silent           |
 
-  Scenario: The only attempt gets all the time there is
+  Scenario: A single attempt gets the whole request timeout
     Guards against an attempt that times out early to leave time for a retry
     that the route does not allow.
     Given a proxied runner that answers late
     When a caller sends a request that has a single attempt
     Then the caller gets status 200
 
-  Scenario: A refusal tells when to come back
+  Scenario: A refusal has a Retry-After header
     Guards against refused callers that all retry at the same time.
     Given a proxied runner that is full
     When a caller sends a request that may run once
     Then the caller gets status 503
     And the Retry-After of the answer is at most a third of 2 s
 
-  Scenario: A stream that breaks off within an event goes on elsewhere
+  Scenario: A stream that breaks off within an event resumes at another runner
     Guards against an event that is lost, duplicated or assembled from the
     partial events of two runners.
     Given a proxied runner that breaks off within event 3
@@ -65,7 +65,7 @@
     And the relayed stream is complete
     And runner 2 was asked to resume after event 2
 
-  Scenario: A stream that may not be resumed does not look complete
+  Scenario: A broken stream that may not be resumed has no end marker
     Guards against a truncated stream that looks complete to the caller.
     Given a proxied runner that breaks off within event 3
     And a proxied runner that streams
@@ -74,13 +74,13 @@
     And the relayed stream has no end
     And runner 2 has received 0 requests
 
-  Scenario: A caller that leaves frees its runner
+  Scenario: A caller that leaves cancels its attempt at the runner
     Guards against runners that go on with requests whose caller has left.
     Given a proxied runner that is silent
     When a caller sends a request that may run once and leaves
     Then runner 1 loses its connection
 
-  Scenario: Headers of the system are its own
+  Scenario: Callers cannot set the system's own headers
     Guards against callers that set the customer, the cache or a reservation by
     headers.
     Given a proxied runner that answers
@@ -90,7 +90,7 @@
     And the runner got no key
     And the runner was given less than 2000 ms
 
-  Scenario Outline: A request that can be read in two ways is refused
+  Scenario Outline: An ambiguous, oversized or unauthorised request is refused
     Guards against request smuggling, and against oversized or unauthorised
     requests that reach a runner.
     Given a proxied runner that answers
@@ -108,7 +108,7 @@
       | an unknown key             | 401    |
       | an unknown path            | 404    |
 
-  Scenario: Requests in any split are passed on unchanged
+  Scenario: Requests are forwarded unchanged whatever the read boundaries
     Guards against bytes that are lost or duplicated at the boundary between two
     reads.
     Given a proxied runner that answers
@@ -122,7 +122,7 @@
     Then both are answered by the runner's own answers
     And runner 1 accepted 2 connections
 
-  Scenario: A server that refuses new work finishes what it has
+  Scenario: A server that refuses new work completes its open requests
     Guards against a request that is accepted late in a drain and then cut off.
     Given a proxied runner that answers late
     When the server refuses new work with 1 request and 1 idle connection open
@@ -130,7 +130,7 @@
     And no new connection is accepted
     And the request gets its complete answer
 
-  Scenario: A stream that began before the stop is the last of its connection
+  Scenario: A connection closes after a stream that began before the stop
     Guards against a new request on a connection that stays open after the
     server has refused new work. The stream's head cannot announce the close, as
     it was sent before.
@@ -138,7 +138,7 @@
     When the server refuses new work while a stream is relayed
     Then the stream ends as complete and its connection is closed
 
-  Scenario Outline: Requests before the first lease wait a moment
+  Scenario Outline: Requests wait a short time for the first lease only
     All processes restart at once. Guards against callers that are refused just
     before the router gets its lease, and against requests that wait although no
     lease will come.
@@ -152,7 +152,7 @@
       | that gets no lease                      | 503    | 0.35  | 0.6  |
       | whose lease has ended                   | 503    | 0.0   | 0.2  |
 
-  Scenario: Ruined answers are never taken for whole ones
+  Scenario: Malformed answers are never relayed as complete ones
     Guards against answers that are truncated, wrongly framed, garbled or meant
     for another request and reach a caller as a success, and against a
     connection that is reused after such an answer.
--- a/features/replication.feature
+++ b/features/replication.feature
@@ -15,13 +15,13 @@
     Then another replica holds the leader lease within 0.3 s
     And every replica has applied 40 log entries
 
-  Scenario: A frozen leader finds its lease expired when it goes on
+  Scenario: A frozen leader's lease has expired when it resumes
     Given 3 replicas
     When the leading replica is frozen for 3 s
     Then another replica holds the leader lease within 2.4 s
     And after 3.0 s only one replica says that it leads
 
-  Scenario: A leader without a majority gives up its office
+  Scenario: A leader without a majority steps down
     Given 3 replicas
     When the leading replica is isolated
     Then it says that it does not lead the log within 1.3 s
@@ -33,7 +33,7 @@
     And the replicas' network heals
     Then every replica has applied 60 log entries
 
-  Scenario: A large snapshot is sent in bounded parts over a bad network
+  Scenario: A large snapshot is sent in bounded parts over a lossy network
     Given 3 replicas that compact every 4 log entries
     And 20% of the replicas' messages are lost and 10% are duplicated
     When the following replica is isolated
@@ -42,7 +42,7 @@
     Then every replica has applied 12 log entries
     And no replica's message was larger than 1200000 bytes
 
-  Scenario: A member whose disk lost synced entries gets them again
+  Scenario: A member that lost synced entries receives them again
     Given 3 replicas
     When 20 log entries are proposed over 1.0 s
     And the following replica loses synced entries
@@ -60,7 +60,7 @@
       | leading   |
       | following |
 
-  Scenario: A member that gets its first disk back keeps its vote
+  Scenario: A member whose first disk is restored becomes a voter again
     Given 3 replicas
     When the following replica runs on another disk until it is a learner
     Then all 3 replicas are voters under their current identities within 5.0 s
@@ -91,26 +91,26 @@
     And the leading replica refuses an entry of 5000000 bytes
     And the leading replica refuses more than 20000 uncommitted entries
 
-  Scenario: A blank member neither votes nor seeks office
+  Scenario: A member with a blank disk neither votes nor stands for election
     Given 3 replicas
     When the following replica loses its disk
     And the leading replica crashes
     Then no replica holds the leader lease for 5.0 s
 
-  Scenario: Members that all restart elect a leader without the wait
+  Scenario: Members that all restart elect a leader without the restart wait
     Guards against an outage in which restarted voters wait for a lease that no
     process can hold.
     Given 5 replicas
     When all replicas crash and start again within 0.2 s
     Then a replica holds the leader lease within 0.3 s of the last start
 
-  Scenario: Members of which one did not restart wait
+  Scenario: Members wait after a restart if one of them did not restart
     Guards against a second leader while the first leader's lease still holds.
     Given 5 replicas
     When all replicas but the leading one crash and start again within 0.2 s
     Then no other replica holds the leader lease within 0.3 s of the last start
 
-  Scenario Outline: Each mechanism prevents the failure it is there for
+  Scenario Outline: Each safety mechanism prevents its failure
     Given the replicas are built <variant>
     When the replicas run the fault schedule: <schedule>
     Then the outcome of the schedule is: <result>
@@ -134,7 +134,7 @@
       | as designed                    | an entry of an old term reaches a majority     | no invariant is violated  |
       | to commit entries of old terms | an entry of an old term reaches a majority     | a committed entry is lost |
 
-  Scenario: No promise is broken under random faults
+  Scenario: Random fault schedules violate no invariant
     Then 2000 seeded fault schedules violate no invariant within 60 s of CPU time
 
   Scenario: The example of the coordination page runs
--- a/features/requests.feature
+++ b/features/requests.feature
@@ -1,10 +1,10 @@
-Feature: Requests keep their promises when endpoints and callers fail
+Feature: Request guarantees when endpoints and callers fail
 
   Background:
     Given 2 routers
 
   # Guards against a resume that loses, repeats or mixes up tokens.
-  Scenario Outline: A faulty runner does not show in the answer
+  Scenario Outline: A faulty runner's request is completed by another runner
     Given a runner "a" with fault "<fault>" at token 5
     And a runner "b"
     When a caller asks for <kind> of 20 tokens
@@ -26,7 +26,7 @@
 
   # Guards against a time to first token that is measured again after a resume,
   # and against prompt tokens that are not counted.
-  Scenario: The first token and the prompt tokens are measured once
+  Scenario: Time to first token is measured once, prompt tokens per attempt
     Given a runner "a" with fault "break" at token 5
     And a runner "b"
     When a caller asks for a stream of 20 tokens
@@ -34,7 +34,7 @@
     And the prompt tokens of 2 attempts were counted
 
   # Guards against faults that only occur when streams share connections.
-  Scenario Outline: Streams side by side with random faults stay apart
+  Scenario Outline: Concurrent streams with random faults are not mixed up
     Given runners "a", "b" and "c"
     When 40 callers stream concurrently with random faults from seed <seed>
     Then every stream is whole or ends in an explicit error
@@ -67,7 +67,7 @@
     And runner "b" ran 0 requests
 
   # Guards against a queue or buffer that grows with a slow caller.
-  Scenario: A caller that takes no data loses its stream
+  Scenario: A stream whose caller reads no data is cancelled
     Given the write timeout is 0.3 s
     And a runner "a" that answers at once
     When a caller asks for 120000 tokens and reads none of them
@@ -109,12 +109,12 @@
     Then the answer is an error "stopping" with outcome "not_run"
 
   # Guards against an outcome "not_run" or "unknown" that is wrong.
-  Scenario: A refused connection was not run
+  Scenario: A request on a refused connection is reported as not run
     Given a runner on a port that refuses connections
     When a caller asks for a stream of 20 tokens
     Then the answer is an error "no_capacity" with outcome "not_run"
 
-  Scenario Outline: After bytes were written the outcome is unknown
+  Scenario Outline: A failure after bytes were sent has an unknown outcome
     Given a runner on a raw server in mode "<mode>"
     When a caller asks for a stream of 20 tokens
     Then the answer is an error "no_capacity" with outcome "unknown"
@@ -134,7 +134,7 @@
     And counter "crossed.dropped" is 1
 
   # Guards against a request that fails because an idle connection was closed.
-  Scenario: A pooled connection closed under the request is retried
+  Scenario: A request on a pooled connection that closes is retried
     Given a desk on a raw server in mode "close_second"
     When the caller checks availability 2 times
     Then each answer has status 200
@@ -156,14 +156,14 @@
     And counter "crossed.dropped" is 1
     And the raw server has 1 connections, closed by the router
 
-  Scenario: A late answer on a kept connection is not the next answer
+  Scenario: A late answer is not delivered to the connection's next request
     Given a desk on a raw server in mode "stray"
     When the caller checks availability 3 times
     Then each answer is the raw server's own
     And counter "crossed.dropped" is 2
     And the raw server has 3 connections, 2 of them closed by the router
 
-  Scenario: An answer without a length is not taken for whole
+  Scenario: An answer without a length is not treated as complete
     Given a desk on a raw server in mode "no_length"
     And a desk "d"
     When the caller checks availability 1 times
@@ -201,7 +201,7 @@
       | crossed | 1    |
       | close   | 0    |
 
-  Scenario: A call that no desk took is not run and its key is free
+  Scenario: A call that no desk accepted is not run and releases its key
     Given a desk on a port that refuses connections
     When the caller deposits with key "k" through router 1
     Then the answer is an error "no_capacity" with outcome "not_run"
@@ -244,7 +244,7 @@
 
   # Guards against a false "not_run": the key may belong to a call that has been
   # run through another router.
-  Scenario: Without a lease a deposit is not said to be not run
+  Scenario: Without a lease the outcome of a deposit is unknown
     Given a desk "d"
     When the caller deposits with key "k" through router 2
     And the lease of router 1 has expired
@@ -258,28 +258,28 @@
     Then the answer is an error "control_unavailable" with outcome "unknown"
     And the desks ran key "k" 0 times
 
-  Scenario: Deposits with one key at the same time run once
+  Scenario: Concurrent deposits with one key run once
     Given a desk "d" with fault "delay" at 0.2
     When 6 deposits with key "k" go through both routers at once
     Then each answer has status 200
     And all answers are equal
     And the desks ran key "k" 1 times
 
-  Scenario: A resend waits no longer than the service may take
+  Scenario: A resend waits no longer than the service timeout
     Given a desk "d"
     And another router has reserved key "k"
     When the caller deposits with key "k" through router 1
     Then the answer is an error "in_progress" with outcome "unknown"
     And the desks ran key "k" 0 times
 
-  Scenario: A caller that leaves does not leave its deposit open
+  Scenario: A deposit whose caller leaves is still recorded
     Given a desk "d" with fault "delay" at 0.3
     When the caller leaves while its deposit with key "k" runs
     And the caller deposits with key "k" through router 2
     Then the last answer has status 200
     And the desks ran key "k" 1 times
 
-  Scenario: A router that stops does not leave a deposit open
+  Scenario: A deposit in progress is recorded when its router stops
     Given a desk "d" with fault "delay" at 0.6
     When router 1 stops while its deposit with key "k" runs
     And the caller deposits with key "k" through router 2
@@ -301,7 +301,7 @@
     Then the answer is an error "key_reused" with outcome "not_run"
     And the desks ran key "k" 1 times
 
-  Scenario Outline: A path cannot hide that its calls may run only once
+  Scenario Outline: Encoded paths cannot bypass the required key
     Given a desk "d"
     When a caller posts to "<path>" without a key
     Then the answer has status <status> and reason "<reason>"
@@ -342,7 +342,7 @@
       | a key outside ASCII        | 400    | key_required    |
 
   # Guards against memory that grows with the number of waiting requests.
-  Scenario: Bodies that a router holds together have a bound
+  Scenario: The total size of buffered request bodies is limited
     Given routers that hold at most 400 bytes of bodies
     And a runner "a" that takes 20 ms per token
     When 9 callers ask concurrently for a stream of 50 tokens
@@ -352,7 +352,7 @@
     Then the caller has the whole text of 20 tokens
 
   # Guards against headers of unlimited size.
-  Scenario: Headers have a bound
+  Scenario: The size of request headers is limited
     When a caller adds a header of 100000 bytes
     Then the last answer has status 431
 
@@ -369,13 +369,13 @@
       | no incarnation       | 400    |
 
   # Guards against index entries for blocks that a runner no longer caches.
-  Scenario: A gap in the feed ends the feed after the event that shows it
+  Scenario: A gap in the event feed ends the feed after the gap is detected
     Given a runner "a"
     When router 1 follows the feed of runner "a", which loses an event
     Then the feed ended with "stream_gap" after events 1, 2, 4
 
   # Guards against a feed that is followed although it no longer sends events.
-  Scenario: A silent feed ends
+  Scenario: A feed that sends no events is ended
     Given a runner on a raw server in mode "silent"
     When router 1 follows the feed of the raw server
     Then the feed ended with "stream_silent" after 1 load report
--- a/features/routing.feature
+++ b/features/routing.feature
@@ -6,13 +6,13 @@
     Then path "/a/b/c" selects "/a/b/" and path "/a/x" selects "/a/"
     And path "/z" selects "/" and another host selects none
 
-  Scenario: Shares of a split are kept
+  Scenario: A route's traffic split follows its weights
     Guards against a service that gets more than its share, or requests at
     weight 0.
     Given a route split 90 to 10 to 0
     Then 1000 evenly spaced draws give 900, 100 and 0 requests
 
-  Scenario: The highest number is in force, whatever the order
+  Scenario: The highest configuration number is in force in any order
     Guards against an older configuration that arrives late or repeatedly.
     Given a control state
     When configurations 5, 3, 5 and 9 are submitted
@@ -26,7 +26,7 @@
     When configuration 5 is submitted twice with different routes
     Then each is accepted and configuration 5 of the first sender is in force
 
-  Scenario: A leaving endpoint stays out, a silent one comes back
+  Scenario: A silent endpoint becomes active again and a leaving one does not
     Guards against a late heartbeat that reactivates a leaving endpoint.
     Given a control state
     And an endpoint that announced itself
@@ -35,7 +35,7 @@
     When its status becomes leaving and it announces itself
     Then its status is leaving
 
-  Scenario: A loading endpoint is out of use until it has new weights
+  Scenario: A loading endpoint becomes active when it has new weights
     Guards against requests to a runner that refuses them while loading weights.
     Given a control state
     And an endpoint that announced itself
@@ -44,7 +44,7 @@
     When it announces itself with new weights
     Then its status is active
 
-  Scenario: A change of an earlier incarnation's status changes nothing
+  Scenario: A status of an earlier incarnation is ignored
     Guards against a delayed expiry that is applied to the endpoint's next
     incarnation.
     Given a control state
@@ -66,21 +66,21 @@
       | 99          | 9      | ignored  |
       | 101         | 1      | accepted |
 
-  Scenario: An endpoint that is not heard becomes silent, after a new leader too
+  Scenario: Endpoints without heartbeats become silent, also at a new leader
     Guards against requests to endpoints that are gone, and against a new leader
     that marks all endpoints silent at once.
     Given a heartbeat of incarnation 100 with number 5
     Then it is silent after 4.9 s but not after 4.7 s
     And one without a heartbeat is silent 4.9 s after the table was created
 
-  Scenario: Members that ask to join become voters up to the number wanted
+  Scenario: Joining members become voters up to the target number
     Guards against a group that stays too small, or that gains voters beyond the
     number wanted and so needs a larger majority.
     Given a group of 3 voters that wants 5
     When 4 members request to join and all answer
     Then the group has 5 voters and 2 learners
 
-  Scenario: A joining member takes the place of a silent voter only
+  Scenario: A joining member replaces only a silent voter
     Guards against a voter that is removed without a successor or while alive.
     Given a group of 5 voters that wants 5
     When 1 member requests to join and all answer
@@ -92,7 +92,7 @@
     Then the group has 5 voters and 0 learners
     And "v3" is a member
 
-  Scenario: A group that takes in nobody ignores those that ask
+  Scenario: A manually configured group ignores join requests
     Guards against changes to groups that operators configure manually.
     Given a group of 3 voters that wants 0
     When 2 members request to join and all answer
--- a/features/rules.feature
+++ b/features/rules.feature
@@ -2,7 +2,7 @@
 
   DIGEST_A and DIGEST_B are placeholders for 64 hexadecimal digits.
 
-  Scenario: A correct file is read whole
+  Scenario: A correct rule file is parsed completely
     Given the rule file
       """
       # Rules of the huts.
@@ -66,7 +66,7 @@
       test.rules:14:26: '/../x' is not a path such as /deposits or /shop/orders
       """
 
-  Scenario: A key pasted in the clear is not repeated in the message
+  Scenario: A plain-text key is not repeated in error messages
     Guards against API keys in terminals and logs.
     Given the rule file
       """
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -91,7 +91,7 @@
       """
     Then the settings load and their repr omits "very-secret"
 
-  Scenario: The daemon's verb refuses the tool's settings
+  Scenario: Serving with the tool's settings is refused
     Guards against a daemon that starts without a role.
     Given the settings file
       """
--- a/features/streams.feature
+++ b/features/streams.feature
@@ -3,7 +3,7 @@
   # Guards against tokens that are lost, repeated or swapped when a runner
   # closes the stream early, repeats, skips or reorders events, in one attempt
   # or in several.
-  Scenario Outline: Faulty attempts never show in the caller's text
+  Scenario Outline: Faults in attempts never change the text a caller gets
     Given an answer of 60 tokens and seeds 1 to 400
     When each seed relays attempts with the faults "<faults>"
     Then every caller has a whole text or an explicit error
