--- a/features/deployment.feature
+++ b/features/deployment.feature
@@ -37,7 +37,7 @@
     Then router-1 serves a chat request within 5.0 s of its start
     And a resend of the deposit through router-2 returns the first answer
 
-  Scenario: A deposit record survives a disk loss followed by a member crash
+  Scenario: A member loses its disk, and another one is lost after the repair
     Guards against a blank member that votes as if it still had its log.
     Given a deposit was taken through router-1
     When a follower loses its disk and is replaced
--- a/features/heavy_load.feature
+++ b/features/heavy_load.feature
@@ -1,4 +1,4 @@
-Feature: Runner choice, caching and retries under heavy load
+Feature: Runner choice, caching and repeats under heavy load
 
   Scenario: Concurrent long prompts of eight routers are spread over runners
     Load: a burst of prompts of 9,000 tokens; each router sees only its own.
@@ -77,7 +77,7 @@
     Then 1 to 3 prompts are saved, at most one per document
     And prompts with more than 4000 tokens of their own are not saved
 
-  Scenario Outline: Retries of all routers stay within the budget in any window
+  Scenario Outline: Repeats of all routers stay within the bound in any window
     Load: runners crash under high load, and routers restart.
     Guards against repeats that prolong an overload.
     Given a bound of 0.2 per request plus 56 in 10 s for 8 routers
--- a/features/observability.feature
+++ b/features/observability.feature
@@ -33,7 +33,7 @@
       | knapweedarch_lease_left_s 2.5                                                                |
     And the page at "/other" is not found
 
-  Scenario Outline: Each request outcome has its own histogram
+  Scenario Outline: Each kind of request end has its own histogram
     Guards against latency figures that mix answers with refusals.
     Given a proxied runner that <mode>
     When a caller sends a request that <kind>
--- a/features/platform_site.feature
+++ b/features/platform_site.feature
@@ -11,7 +11,7 @@
     Then each stream is complete and each booking was executed once
     And the configuration is read back as it was sent
 
-  Scenario: Repeated prompts use cached parts
+  Scenario: Later requests with one prompt find its parts cached
     Guards against cached prompt prefixes that are computed again.
     Given a platform site of 3 members, 2 proxies and 3 runners
     When 12 streams of 2 tokens are requested one after the other
--- a/features/proxy.feature
+++ b/features/proxy.feature
@@ -49,7 +49,7 @@
     Then the caller gets status 200
 
   Scenario: A refusal has a Retry-After header
-    Guards against refused callers that all retry at the same time.
+    Guards against refused callers that all resend at the same time.
     Given a proxied runner that is full
     When a caller sends a request that may run once
     Then the caller gets status 503
