--- a/features/proxy_harness.py
+++ b/features/proxy_harness.py
@@ -342,12 +342,12 @@
             chooser=EndpointChooser(ChoiceConfig(), PartsIndex()),
             index=PartsIndex(),
             limits=RepeatLimits(1.0, 100.0, 10.0),
-            may_start=lambda: self.refusal,
+            start_refusal=lambda: self.refusal,
             started_at=clock.now() - ROUTER_AGE_S,
         )
         self.gateway = ProxyGateway(
             *(PlatformDialect(), self.attempts, clock, self.metrics),
-            may_start=lambda: self.refusal,
+            start_refusal=lambda: self.refusal,
         )
         self.gateway.started.set()
         self.gateway.set_deployment(deployment())
--- a/knapweedarch/proxy.py
+++ b/knapweedarch/proxy.py
@@ -121,11 +121,11 @@
             ),
             index=self._index,
             limits=settings.repeats,
-            may_start=self._may_start,
+            start_refusal=self._start_refusal,
             started_at=clock.now(),
         )
         self._gateway = ProxyGateway(
-            *(dialect, self._attempts, clock, metrics, self._may_start)
+            *(dialect, self._attempts, clock, metrics, self._start_refusal)
         )
         self._server = InboundServer(
             self._gateway.handle, clock, lambda: self._gateway.limits
@@ -244,10 +244,10 @@
         log("weights_wanted", weights=weights)
 
     def _on_lease_granted(self) -> None:
-        if self._may_start() is None:
+        if self._start_refusal() is None:
             self._gateway.started.set()
 
-    def _may_start(self) -> RefusalReason | None:
+    def _start_refusal(self) -> RefusalReason | None:
         """Returns why no request may be sent now, or None if it may."""
         if not self._keeper.lease.holds(self._clock.now()):
             return RefusalReason.LEASE_EXPIRED
@@ -258,7 +258,7 @@
     async def _answer_ready(self, req: Request, responder: Responder) -> None:
         if req.path != self._settings.ready_path:
             status = 404
-        elif self._draining or self._may_start():
+        elif self._draining or self._start_refusal():
             status = 503
         else:
             status = 200
--- a/knapweedarch/proxy_attempts.py
+++ b/knapweedarch/proxy_attempts.py
@@ -52,7 +52,8 @@
         chooser: Chooses among usable endpoints.
         index: Prompt parts cached in runners and stores.
         limits: Limit of repeats for all routers together.
-        may_start: Returns why no request may be sent now, or None if it may.
+        start_refusal: Returns why no request may be sent now, or None if it
+            may.
         started_at: When the router started, in seconds on its clock.
 
     Attributes:
@@ -69,7 +70,7 @@
         chooser: EndpointChooser,
         index: PartsIndex,
         limits: RepeatLimits,
-        may_start: Callable[[], RefusalReason | None],
+        start_refusal: Callable[[], RefusalReason | None],
         started_at: float,
     ):
         self.clock = clock
@@ -81,7 +82,7 @@
         self._save_limiters: dict[str, SaveLimiter] = {}
         self._pool = pool
         self._limits = limits
-        self._may_start = may_start
+        self._start_refusal = start_refusal
         self._started_at = started_at
         self._budgets: dict[str, RepeatBudget] = {}
         self._by_service: dict[str, list[Endpoint]] = {}
@@ -219,7 +220,7 @@
         return exchange
 
     def _check_start(self) -> None:
-        if reason := self._may_start():
+        if reason := self._start_refusal():
             raise ExchangeError(
                 RetryReason.CONNECT_REFUSED, reason.value, written=False
             )
--- a/knapweedarch/proxy_gateway.py
+++ b/knapweedarch/proxy_gateway.py
@@ -52,7 +52,7 @@
         attempts: Attempts,
         clock: Clock,
         metrics: Metrics,
-        may_start: Callable[[], RefusalReason | None],
+        start_refusal: Callable[[], RefusalReason | None],
     ):
         self.ready = False
         self.started = anyio.Event()
@@ -60,7 +60,7 @@
         self._attempts = attempts
         self._clock = clock
         self._metrics = metrics
-        self._may_start = may_start
+        self._start_refusal = start_refusal
         self._table = RouteTable(Deployment(0))
         self._random = random.Random()
 
@@ -117,7 +117,7 @@
         self, req: Request, options: CallerOptions
     ) -> ProxyCall | RefusalReason:
         """Resolves route, customer and service, or returns the refusal."""
-        if reason := self._may_start():
+        if reason := self._start_refusal():
             return reason
         host = req.header(b"host").decode("latin-1").partition(":")[0]
         route = self._table.route(host, req.path)
