--- a/knapweedarch/admission.py
+++ b/knapweedarch/admission.py
@@ -78,7 +78,7 @@
 
         Returns:
             None if admitted, otherwise the delay in seconds after which the
-            caller should retry.
+            caller should resend the request.
         """
         state = self._customers.get(ticket.customer)
         if state is None:
--- a/knapweedarch/callers.py
+++ b/knapweedarch/callers.py
@@ -75,7 +75,8 @@
         reason: Machine-readable reason.
         message: Human-readable message.
         outcome: Whether the request was run, or whether that is unknown.
-        retry_after_s: Delay before the caller should retry, in seconds.
+        retry_after_s: Delay before the caller should resend the request, in
+            seconds.
     """
 
     def __init__(
--- a/knapweedarch/http_server.py
+++ b/knapweedarch/http_server.py
@@ -110,7 +110,7 @@
     def _is_full(self, path: str) -> bool:
         """Returns whether a request exceeds the limit of active requests.
 
-        Only chat requests are refused as not run. A retried service call may
+        Only chat requests are refused as not run. A resent service call may
         have run before, and leaving endpoints and the load balancer must
         always get a response.
         """
--- a/knapweedarch/leader.py
+++ b/knapweedarch/leader.py
@@ -443,7 +443,7 @@
 
 
 def _log_command(command: object, result: object) -> None:
-    """Logs operators' commands; a retry is logged again."""
+    """Logs operators' commands; a resend or retry is logged again."""
     match command, result:
         case PutRules(request_id=request), RulesAccepted(version=version):
             log("rules_accepted", version=version, request=request)
--- a/knapweedarch/models.py
+++ b/knapweedarch/models.py
@@ -289,7 +289,8 @@
 
     Attributes:
         reason: Reason of the refusal.
-        retry_after_s: Delay in seconds after which the caller should retry.
+        retry_after_s: Delay in seconds after which the caller should resend
+            the request.
     """
 
     reason: RefusalReason
--- a/knapweedarch/proxy_calls.py
+++ b/knapweedarch/proxy_calls.py
@@ -12,7 +12,7 @@
 from knapweedarch.timers import Clock
 
 # Largest Retry-After as a fraction of the caller's remaining time, so that a
-# retry still has time to be answered.
+# resend still has time to be answered.
 MAX_RETRY_AFTER_FRACTION = 1 / 3
 # Mean Retry-After delay before it is limited to the caller's remaining time.
 RETRY_AFTER_S = 0.4
@@ -92,7 +92,7 @@
 ) -> tuple[bytes, bytes]:
     """Builds the Retry-After header of a refusal.
 
-    The delay has jitter, so that refused callers do not retry at the same
+    The delay has jitter, so that refused callers do not resend at the same
     time. It is at least 0.05 s.
 
     Args:
--- a/knapweedarch/records.py
+++ b/knapweedarch/records.py
@@ -184,7 +184,7 @@
         ):
             return Settled()
         if command.status is None:
-            # If the outcome is unknown, a retry may already have been answered
+            # If the outcome is unknown, a resend may already have been answered
             # so; the key is then kept, so that it is never sent again.
             if record.status is RecordStatus.RESERVED:
                 del self.records[command.record_key]
--- a/knapweedarch/state_commands.py
+++ b/knapweedarch/state_commands.py
@@ -21,7 +21,7 @@
     """Replaces the rule file.
 
     Attributes:
-        request_id: Identifier of the request; a retry repeats it.
+        request_id: Identifier of the request; a resend has the same one.
         base_version: Version that the operator's file is based on.
         text: The validated rule file.
     """
@@ -71,8 +71,8 @@
 class PutDeployment:
     """Replaces the routing configuration.
 
-    A version that is not above the current one changes nothing, so a retry
-    and a delayed request are accepted without effect.
+    A version that is not above the current one changes nothing, so a resend, a
+    retry and a delayed request are accepted without effect.
 
     Attributes:
         deployment: The validated configuration.
