--- a/knapweedarch/leases.py
+++ b/knapweedarch/leases.py
@@ -130,8 +130,8 @@
     Attributes:
         until: Expiry of the lease on the holder's clock, in seconds.
         epoch: Number of grants that found the lease expired, including the
-            first one. A right acquired in one epoch may belong to another
-            router in the next.
+            first one. An entitlement acquired in one epoch may belong to
+            another router in the next.
     """
 
     until: float = 0.0
--- a/knapweedarch/state_commands.py
+++ b/knapweedarch/state_commands.py
@@ -58,7 +58,9 @@
 
 @attrs.frozen
 class TakeOrders:
-    """Requests the exclusive right of one router to send orders to endpoints.
+    """Requests the entitlement to send orders to endpoints.
+
+    The entitlement is the exclusive right of one router to send orders.
 
     Attributes:
         holder: Incarnation of the router.
