--- a/knapweedarch/callers.py
+++ b/knapweedarch/callers.py
@@ -61,7 +61,10 @@
 
 
 class CallerGoneError(KnapweedarchError):
-    """The caller closed its connection."""
+    """The caller of the ASGI gateway closed its connection.
+
+    The proxy's HTTP/1.1 server raises `exceptions.CallerGoneError` instead.
+    """
 
 
 class SlowCallerError(KnapweedarchError):
--- a/knapweedarch/exceptions.py
+++ b/knapweedarch/exceptions.py
@@ -124,7 +124,11 @@
 
 
 class CallerGoneError(KnapweedarchError):
-    """The caller closed its connection before the answer was complete."""
+    """The caller closed its connection before the answer was complete.
+
+    Raised by the HTTP/1.1 server of the proxy; the ASGI gateway raises
+    `callers.CallerGoneError` instead.
+    """
 
 
 class RequestIdError(KnapweedarchError):
--- a/knapweedarch/http_messages.py
+++ b/knapweedarch/http_messages.py
@@ -5,7 +5,7 @@
 Headers = tuple[tuple[bytes, bytes], ...]
 
 # Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1),
-# those that frame the body, which are set anew for each connection, and
+# those that frame the body, which are set separately for each connection, and
 # `Expect`, which the server answers itself.
 HOP_BY_HOP_HEADERS = frozenset(
     (
--- a/knapweedarch/loads.py
+++ b/knapweedarch/loads.py
@@ -103,7 +103,10 @@
             self.ended_since_report += 1
 
     def reported_requests(self) -> int:
-        """Returns the reported requests less those that ended since."""
+        """Returns the reported requests less this router's that ended since.
+
+        Requests of other routers count until the next report.
+        """
         return max(0, self.running + self.queued - self.ended_since_report)
 
     def tokens_ahead(
--- a/knapweedarch/replica_election.py
+++ b/knapweedarch/replica_election.py
@@ -122,8 +122,8 @@
 
         It lets the best candidate learn at once of the voter that restarted
         last. Only the better candidate of two sends one, so that they do not
-        send requests back and forth for ever. After the restart wait nobody
-        needs to know which voters have restarted.
+        send requests back and forth indefinitely. After the restart wait, it
+        no longer matters which voters have restarted.
         """
         if not (
             self.just_restarted and request.pre and self.has_recent_leader(now)
--- a/knapweedarch/replica_leadership.py
+++ b/knapweedarch/replica_leadership.py
@@ -50,7 +50,7 @@
         heartbeat_due: Whether a heartbeat must be sent.
         snapshot: Snapshot being sent. It is not replaced until it is
             installed; otherwise frequent compaction would restart the
-            transfer for ever.
+            transfer indefinitely.
         offset: Next byte of the snapshot to send.
         part_sent_at: When the current part was sent.
     """
--- a/knapweedarch/services.py
+++ b/knapweedarch/services.py
@@ -261,7 +261,7 @@
         """Runs a call at most once across all routers.
 
         Raises:
-            RefusedError: The call has no response; `outcome` tells whether it
+            RefusedError: The call has no response; `outcome` says whether it
                 was run.
         """
         poll_s = FIRST_POLL_INTERVAL_S
--- a/knapweedarch/timers.py
+++ b/knapweedarch/timers.py
@@ -1,4 +1,4 @@
-"""Clocks, and timers that run callbacks."""
+"""Timer service of the package: clocks, and timers that run callbacks."""
 
 import heapq
 import itertools
