--- a/knapweedarch/callers.py
+++ b/knapweedarch/callers.py
@@ -61,7 +61,10 @@
 
 
 class CallerGoneError(KnapweedarchError):
-    """The caller closed its connection."""
+    """The caller of the ASGI gateway closed its connection.
+
+    The proxy's HTTP/1.1 server raises `exceptions.CallerGoneError` instead.
+    """
 
 
 class SlowCallerError(KnapweedarchError):
@@ -75,7 +78,8 @@
         reason: Machine-readable reason.
         message: Human-readable message.
         outcome: Whether the request was run, or whether that is unknown.
-        retry_after_s: Delay before the caller should retry, in seconds.
+        retry_after_s: Delay before the caller should resend the request, in
+            seconds.
     """
 
     def __init__(
